--- a/box/ring/ring.go
+++ b/box/ring/ring.go
@@ -12,13 +12,11 @@
 
 import (
 	"context"
-	"sync/atomic"
 )
 
 // Ring is a bounded first-in, first-out queue, safe for concurrent use.
 type Ring[T any] struct {
-	slots   chan T
-	refused atomic.Uint64
+	slots chan T
 }
 
 // New makes a ring that holds up to size values; size is at least 1.
@@ -26,13 +24,12 @@
 	return &Ring[T]{slots: make(chan T, max(size, 1))}
 }
 
-// Push adds v, or reports false and counts it when the ring is full.
+// Push adds v, or reports false when the ring is full.
 func (r *Ring[T]) Push(v T) bool {
 	select {
 	case r.slots <- v:
 		return true
 	default:
-		r.refused.Add(1)
 		return false
 	}
 }
@@ -58,9 +55,3 @@
 		return zero, false
 	}
 }
-
-// Len is the number of values waiting.
-func (r *Ring[T]) Len() int { return len(r.slots) }
-
-// Refused is how many values found the ring full.
-func (r *Ring[T]) Refused() uint64 { return r.refused.Load() }
--- a/core/box/accepted/accepted.go
+++ b/core/box/accepted/accepted.go
@@ -72,13 +72,6 @@
 	return b.digest
 }
 
-// Len is how many objects the book holds, tombstones among them.
-func (b *Book) Len() int {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return len(b.entries)
-}
-
 // Get finds the entry of a key.
 func (b *Book) Get(key string) (Entry, bool) {
 	b.mu.RLock()
--- a/internal/compare/cases_test.go
+++ b/core/box/ledger/sim_cases_test.go
@@ -1,4 +1,4 @@
-package compare_test
+package ledger_test
 
 import (
 	"math"
@@ -104,9 +104,6 @@
 	sent     map[string]int
 	how      map[string]map[string]int
 	tries    int
-	wasted   int
-	messages int
-	goodWork time.Duration
 	comeBack []int           // repeats of each request that was served in the end
 	refusals []time.Duration // how long each refusal took
 }
@@ -126,7 +123,6 @@
 	if how == "ok" {
 		r.comeBack = append(r.comeBack, q.repeats)
 		_ = r.latency[q.kind.name].RecordValue(took.Microseconds())
-		r.goodWork += q.work
 	}
 }
 
@@ -139,9 +135,9 @@
 	return 1 - float64(r.how[kind]["ok"])/float64(max(r.sent[kind], 1))
 }
 
-// play runs one case in one way. The arrivals, the work and the slow times
-// depend on the seed only, not on the way.
-func play(c testCase, w way, seed uint64) *result {
+// play runs one case. The arrivals, the work and the slow times depend on the
+// seed only.
+func play(c testCase, seed uint64) *result {
 	arrivals := rand.New(rand.NewPCG(seed, 1))
 	s := &sim{c: c, random: rand.New(rand.NewPCG(seed, 2)), result: newResult(c.kinds)}
 	for i := range c.targets {
@@ -154,7 +150,7 @@
 	if c.fault != nil {
 		c.fault(s)
 	}
-	send := w.make(s)
+	send := newHomeBox(s).take
 	for i, at := range arrivalTimes(arrivals, c) {
 		r := makeRequest(arrivals, c, i, at)
 		s.left++
--- a/internal/compare/home_test.go
+++ b/core/box/ledger/sim_home_test.go
@@ -1,6 +1,8 @@
-package compare_test
+package ledger_test
 
 import (
+	"maps"
+	"slices"
 	"strconv"
 	"time"
 
@@ -8,8 +10,11 @@
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 )
 
-// homeWay is way D: a home box grants slots from the real ledger.
-type homeWay struct {
+// mostTries bounds the targets that one request is sent to.
+const mostTries = 3
+
+// homeBox is the home of a service, which grants slots from the real ledger.
+type homeBox struct {
 	s       *sim
 	ledger  *ledger.Ledger
 	home    int
@@ -18,44 +23,37 @@
 	held    map[int]map[string]ledger.Held // by box
 	heldAt  map[string]time.Duration
 	asking  map[string]func() // asks without a decision, to be made anew
-	options homeOptions
 	budget  float64
 }
 
-// homeOptions are variations of way D.
-type homeOptions struct {
-	hedge bool
+func newHomeBox(s *sim) *homeBox {
+	h := &homeBox{
+		s: s, budget: 10,
+		held: map[int]map[string]ledger.Held{}, heldAt: map[string]time.Duration{},
+		asking: map[string]func(){},
+	}
+	h.begin()
+	h.tick()
+	if s.c.kill > 0 {
+		s.after(s.c.kill, h.die)
+	}
+	return h
 }
 
-func homeGrants(name string, o homeOptions) way {
-	return way{name: name, make: func(s *sim) func(*request) {
-		h := &homeWay{
-			s: s, home: 0, options: o, budget: 10,
-			held: map[int]map[string]ledger.Held{}, heldAt: map[string]time.Duration{},
-			asking: map[string]func(){},
-		}
-		h.begin()
-		var tick func()
-		tick = func() {
-			s.after(10*time.Millisecond, tick)
-			if h.ledger == nil {
-				return
-			}
-			for box := range s.c.boxes {
-				h.ledger.Heard(s.time(), strconv.Itoa(box))
-			}
-			h.ledger.Tick(s.time(), time.Second)
-			h.deliver()
-		}
-		tick()
-		if s.c.kill > 0 {
-			s.after(s.c.kill, h.die)
-		}
-		return h.take
-	}}
+// tick is what a box does every 10 ms.
+func (h *homeBox) tick() {
+	h.s.after(10*time.Millisecond, h.tick)
+	if h.ledger == nil {
+		return
+	}
+	for box := range h.s.c.boxes {
+		h.ledger.Heard(h.s.time(), strconv.Itoa(box))
+	}
+	h.ledger.Tick(h.s.time(), time.Second)
+	h.deliver()
 }
 
-func (h *homeWay) begin() {
+func (h *homeBox) begin() {
 	h.ledger = ledger.New(ledger.Options{MaxQueue: 2000, Random: h.s.random.Float64})
 	h.waiters = map[string]func(ledger.Decision){}
 	targets := make([]ledger.Target, len(h.s.targets))
@@ -70,7 +68,7 @@
 
 // die ends the home; after a silence all boxes ask the next one, which learns
 // from them what they hold.
-func (h *homeWay) die() {
+func (h *homeBox) die() {
 	h.ledger = nil
 	h.s.after(silence, func() {
 		h.home++
@@ -85,20 +83,20 @@
 		}
 		again := h.asking
 		h.asking = map[string]func(){}
-		for _, id := range sortedKeys(again) {
+		for _, id := range slices.Sorted(maps.Keys(again)) {
 			again[id]()
 		}
 	})
 }
 
-func (h *homeWay) away(box int) time.Duration {
+func (h *homeBox) away(box int) time.Duration {
 	if box == h.home {
 		return 0
 	}
 	return oneWay(box%h.s.c.halls, h.home%h.s.c.halls)
 }
 
-func (h *homeWay) deliver() {
+func (h *homeBox) deliver() {
 	if h.ledger == nil {
 		return
 	}
@@ -110,7 +108,7 @@
 	}
 }
 
-func (h *homeWay) take(r *request) {
+func (h *homeBox) take(r *request) {
 	r.asked = h.s.now
 	h.ask(r, false, func(id string, d ledger.Decision) {
 		if d.State != ledger.Granted {
@@ -123,7 +121,7 @@
 }
 
 // refused ends a request, or lets it come back when it was told to.
-func (h *homeWay) refused(r *request, d ledger.Decision) {
+func (h *homeBox) refused(r *request, d ledger.Decision) {
 	h.s.result.refusals = append(h.s.result.refusals, h.s.now-r.asked)
 	if !h.s.c.comeBack {
 		h.s.answer(r, "refused")
@@ -136,17 +134,16 @@
 	})
 }
 
-func (h *homeWay) target(d ledger.Decision) *simTarget {
+func (h *homeBox) target(d ledger.Decision) *simTarget {
 	i, _ := strconv.Atoi(d.Target)
 	return h.s.targets[i]
 }
 
 // ask goes to the home and back.
-func (h *homeWay) ask(r *request, spareOnly bool, got func(id string, d ledger.Decision)) {
+func (h *homeBox) ask(r *request, spareOnly bool, got func(id string, d ledger.Decision)) {
 	h.seq++
 	id := strconv.Itoa(h.seq)
 	away := h.away(r.box)
-	h.s.result.messages += 2
 	var again func()
 	arrived := func(d ledger.Decision) {
 		h.s.after(away, func() {
@@ -175,7 +172,7 @@
 	again()
 }
 
-func (h *homeWay) askOf(r *request, id string, spareOnly bool) ledger.Ask {
+func (h *homeBox) askOf(r *request, id string, spareOnly bool) ledger.Ask {
 	avoid := make([]string, len(r.tried))
 	for i, t := range r.tried {
 		avoid[i] = strconv.Itoa(t)
@@ -187,7 +184,7 @@
 	}
 }
 
-func (h *homeWay) hold(r *request, id string, d ledger.Decision) {
+func (h *homeBox) hold(r *request, id string, d ledger.Decision) {
 	if h.held[r.box] == nil {
 		h.held[r.box] = map[string]ledger.Held{}
 	}
@@ -196,7 +193,7 @@
 }
 
 // use sends the request to its granted target, hedging where it may.
-func (h *homeWay) use(r *request, id string, t *simTarget, hedgeAfter time.Duration) {
+func (h *homeBox) use(r *request, id string, t *simTarget, hedgeAfter time.Duration) {
 	r.tried = append(r.tried, t.id)
 	h.s.result.tries++
 	var cancels []func()
@@ -220,7 +217,7 @@
 	}
 	began := h.s.now
 	cancels = append(cancels, h.sendTry(r, id, t, began, finish))
-	if !h.options.hedge || !r.kind.hedge || hedgeAfter == 0 {
+	if !r.kind.hedge || hedgeAfter == 0 {
 		return
 	}
 	h.s.after(hedgeAfter, func() {
@@ -238,14 +235,13 @@
 			}
 			second := h.target(d)
 			h.s.result.tries++
-			h.s.result.wasted++
 			cancels = append(cancels, h.sendTry(r, id, second, h.s.now, finish))
 		})
 	})
 }
 
 // mayRetry follows the box's rule: what could not be reached is free.
-func (h *homeWay) mayRetry(result string) bool {
+func (h *homeBox) mayRetry(result string) bool {
 	if result == "unreachable" {
 		return true
 	}
@@ -257,7 +253,7 @@
 }
 
 // sendTry sends one try; cancelling it gives its slot back, too.
-func (h *homeWay) sendTry(r *request, id string, t *simTarget, began time.Duration, finish func(string, *simTarget, string, time.Duration)) func() {
+func (h *homeBox) sendTry(r *request, id string, t *simTarget, began time.Duration, finish func(string, *simTarget, string, time.Duration)) func() {
 	ended := false
 	cancel := h.s.try(r, t, func(result string, took time.Duration) {
 		ended = true
@@ -277,9 +273,8 @@
 	"deadline": health.Cancelled, "cancelled": health.Cancelled, "unused": health.Unused,
 }
 
-func (h *homeWay) giveBack(r *request, id string, t *simTarget, result string, took time.Duration) {
+func (h *homeBox) giveBack(r *request, id string, t *simTarget, result string, took time.Duration) {
 	delete(h.held[r.box], id)
-	h.s.result.messages++
 	h.s.after(h.away(r.box), func() {
 		if h.ledger != nil {
 			h.ledger.Return(h.s.time(), id, ledger.Outcome{Result: results[result], Took: took})
--- a/internal/compare/sim_test.go
+++ b/core/box/ledger/sim_test.go
@@ -1,7 +1,8 @@
-// Package compare_test measures ways of choosing targets against each other in
-// virtual time, with the same arrivals, seeds and faults. The real ledger runs
-// in the ways that use one; targets and distances are fakes at the seams.
-package compare_test
+package ledger_test
+
+// A simulation of one service in virtual time: the real ledger, with fakes of
+// targets and distances at its seams. The users' bench plays the gateway, not
+// the box, so that it stays for the bounds in sim_bounds_test.go.
 
 import (
 	"container/heap"
--- a/core/gateway/routing/routing.go
+++ b/core/gateway/routing/routing.go
@@ -49,8 +49,6 @@
 	Name string
 	// HealthPath is where a target tells its health and load.
 	HealthPath string
-	// MaxConnections is how many connections one target takes from all callers.
-	MaxConnections int
 }
 
 // Limits bound what clients may send and how long they may stay.
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -140,6 +140,3 @@
 	// ReadyPath is the path of the question whether clients may come.
 	ReadyPath string
 }
-
-// DefaultWire is the product's own spelling.
-func DefaultWire() Wire { return Wire{Headers: headers.Defaults(), ReadyPath: "/readyz"} }
--- a/internal/box/grant/grant.go
+++ b/internal/box/grant/grant.go
@@ -60,9 +60,6 @@
 	at         time.Time
 }
 
-// ID names the grant.
-func (s *Slot) ID() string { return s.id }
-
 // Target is the address of the target.
 func (s *Slot) Target() string { return s.target }
 
--- a/internal/standin/platformsim/server.go
+++ b/internal/standin/platformsim/server.go
@@ -49,7 +49,6 @@
 	at     time.Time
 	list   string
 	member store.Member
-	gone   bool
 }
 
 // Server is the stand-in's HTTP side.
@@ -88,15 +87,10 @@
 }
 
 // SetMember puts a member into a list, as the platform itself would.
-func (s *Server) SetMember(list string, m store.Member) { s.change(list, m, false) }
-
-// RemoveMember takes a member out of a list.
-func (s *Server) RemoveMember(list, id string) { s.change(list, store.Member{ID: id}, true) }
-
-func (s *Server) change(list string, m store.Member, gone bool) {
+func (s *Server) SetMember(list string, m store.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members = append(s.members, memberChange{at: time.Now(), list: list, member: m, gone: gone})
+	s.members = append(s.members, memberChange{at: time.Now(), list: list, member: m})
 }
 
 // Handler serves the object API and, under /control, the switches.
@@ -244,10 +238,8 @@
 			out = append(out[:i], out[i+1:]...)
 			at = index(out)
 		}
-		if !ch.gone {
-			at[ch.member.ID] = len(out)
-			out = append(out, ch.member)
-		}
+		at[ch.member.ID] = len(out)
+		out = append(out, ch.member)
 	}
 	return c.JSON(http.StatusOK, out)
 }
--- a/internal/standin/standincmd/standincmd.go
+++ b/internal/standin/standincmd/standincmd.go
@@ -38,7 +38,7 @@
 		Usage:     "Stand in for what surrounds sprucecrank, and drive load",
 		Writer:    out,
 		ErrWriter: errOut,
-		Commands:  []*cli.Command{newPlatform(), newTarget(), newMember(), newLoad(out), newKey(out), newObserve(out)},
+		Commands:  []*cli.Command{newPlatform(), newTarget(), newMember(), newLoad(out), newKey(out)},
 	}
 	if err := command.Run(ctx, args); err != nil {
 		_, _ = fmt.Fprintf(errOut, "sprucecrank-standin: %v\n", err)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -175,9 +175,6 @@
 // Service is the name of the service that the policy is for.
 func (p *Policy) Service() string { return p.doc.Service }
 
-// Kinds lists the kinds in the order of the document.
-func (p *Policy) Kinds() []Kind { return p.doc.Kinds }
-
 // Classify runs the program and finds the kind that it names.
 func (p *Policy) Classify(r Request) (*Kind, error) {
 	out, err := vm.Run(p.program, r)
--- a/store/platform_test.go
+++ b/store/platform_test.go
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	tooLarge := []byte(`"` + strings.Repeat("x", store.MaxValue) + `"`)
-	_, err := c.PutSettled(ctx, "a", tooLarge, 0, never)
+	_, err := c.Objects().PutSettled(ctx, "a", tooLarge, 0, never)
 	g.Expect(err).To(MatchError(store.ErrRejected))
 	g.Expect(sim.Calls().Writes).To(Equal(uint64(1)))
 }
@@ -40,7 +40,7 @@
 	time.AfterFunc(100*time.Millisecond, func() { sim.SetFaults(platformsim.Faults{}) })
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	version, err := c.PutSettled(ctx, "a", []byte(`1`), 0, func(o store.Object) bool { return string(o.Value) == "1" })
+	version, err := c.Objects().PutSettled(ctx, "a", []byte(`1`), 0, func(o store.Object) bool { return string(o.Value) == "1" })
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(version).To(Equal(uint64(1)))
 	g.Expect(sim.Objects("a")).To(HaveLen(1))
@@ -51,7 +51,7 @@
 	_, c := newClient(t)
 	_, err := c.Put(t.Context(), "a", []byte(`1`), 0)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = c.PutSettled(t.Context(), "a", []byte(`2`), 0, never)
+	_, err = c.Objects().PutSettled(t.Context(), "a", []byte(`2`), 0, never)
 	var conflict *store.ConflictError
 	g.Expect(err).To(BeAssignableToTypeOf(conflict))
 	g.Expect(err).To(MatchError(store.ErrConflict))
--- a/store/store.go
+++ b/store/store.go
@@ -11,7 +11,7 @@
 //
 //	c := store.New(store.Options{Address: "10.0.0.2:7000"})
 //	object, err := c.Get(ctx, "services/preview")
-//	version, err := c.PutSettled(ctx, object.Key, value, object.Version, mine)
+//	version, err := c.Objects().PutSettled(ctx, object.Key, value, object.Version, mine)
 package store
 
 import (
@@ -168,11 +168,6 @@
 // here.
 func (c *Client) Objects() Objects { return Objects{Get: c.Get, Put: c.Put} }
 
-// PutSettled is Objects.PutSettled on this client.
-func (c *Client) PutSettled(ctx context.Context, key string, value []byte, expect uint64, mine func(Object) bool) (uint64, error) {
-	return c.Objects().PutSettled(ctx, key, value, expect, mine)
-}
-
 // List reads all objects under a prefix; the list may lag.
 func (c *Client) List(ctx context.Context, prefix string) (Snapshot, error) {
 	return c.snapshot(ctx, "/v1/objects?prefix="+url.QueryEscape(prefix), c.timeout)
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -15,7 +15,6 @@
 package verdict
 
 import (
-	"errors"
 	"fmt"
 	"net/http"
 	"time"
@@ -162,12 +161,3 @@
 	}
 	return msg
 }
-
-// From turns any error into an Error; one without a verdict may have run.
-func From(err error) *Error {
-	var e *Error
-	if errors.As(err, &e) {
-		return e
-	}
-	return New(MayHaveRun, ReasonTargetFailed, "the request failed").WithCause(err)
-}
