--- a/core/budget/budget_test.go
+++ b/core/box/budget/budget_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/sprucecrank/sprucecrank/core/budget"
+	"github.com/sprucecrank/sprucecrank/core/box/budget"
 )
 
 // TestAllBoxesTogetherStayInTheBudget lets boxes probe one target, with any
--- a/core/budget/window.go
+++ b/core/gateway/budget/budget.go
@@ -24,8 +24,8 @@
 	seconds   [keptSteps]int
 }
 
-// NewWindow makes a budget for spans of the given length.
-func NewWindow(length time.Duration, ratio, allowance float64) *Window {
+// New makes a budget for spans of the given length.
+func New(length time.Duration, ratio, allowance float64) *Window {
 	return &Window{ratio: ratio, allowance: allowance, step: length / windowSteps}
 }
 
--- a/core/budget/window_test.go
+++ b/core/gateway/budget/budget_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 
-	"github.com/sprucecrank/sprucecrank/core/budget"
+	"github.com/sprucecrank/sprucecrank/core/gateway/budget"
 )
 
 func TestSecondSendsAreAShareOfTheRequests(t *testing.T) {
 	g := NewWithT(t)
-	w := budget.NewWindow(10*time.Second, 0.2, 1)
+	w := budget.New(10*time.Second, 0.2, 1)
 	now := time.Unix(1000, 0)
 	g.Expect(w.Spend(now, 1)).To(BeTrue(), "the allowance")
 	g.Expect(w.Spend(now, 1)).To(BeFalse())
@@ -32,7 +32,7 @@
 // spent.
 func TestAJumpOfTheTimeOfDayForgetsNothing(t *testing.T) {
 	g := NewWithT(t)
-	w := budget.NewWindow(10*time.Second, 0.2, 1)
+	w := budget.New(10*time.Second, 0.2, 1)
 	now := time.Now()
 	g.Expect(w.Spend(now, 1)).To(BeTrue())
 	jumped := stepTimeOfDay(now.Add(time.Second), time.Minute)
@@ -55,7 +55,7 @@
 func TestNoSpanHoldsMore(t *testing.T) {
 	const length, ratio, allowance = 10 * time.Second, 0.2, 1.0
 	rapid.Check(t, func(t *rapid.T) {
-		w := budget.NewWindow(length, ratio, allowance)
+		w := budget.New(length, ratio, allowance)
 		var requests, spent []time.Time
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
--- a/core/gateway/choice/choice_test.go
+++ b/core/gateway/load/load_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package load_test
 
 import (
 	"testing"
@@ -6,34 +6,34 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/load"
 )
 
 const usual = 100 * time.Millisecond
 
-func reading(running, waiting, slots int, slowness float64) choice.Reading {
-	return choice.Reading{Running: running, Waiting: waiting, Slots: slots, Slowness: slowness}
+func reading(running, waiting, slots int, slowness float64) load.Report {
+	return load.Report{Running: running, Waiting: waiting, Slots: slots, Slowness: slowness}
 }
 
 func TestALoadHeaderIsReadWhole(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(7, 0)
-	r, err := choice.ParseReading("3, 1,8,500", now)
+	r, err := load.Parse("3, 1,8,500", now)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(r).To(Equal(choice.Reading{Running: 3, Waiting: 1, Slots: 8, Slowness: 5, At: now}))
-	r, err = choice.ParseReading("0,0,3", now)
+	g.Expect(r).To(Equal(load.Report{Running: 3, Waiting: 1, Slots: 8, Slowness: 5, At: now}))
+	r, err = load.Parse("0,0,3", now)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(r.Slowness).To(Equal(1.0))
 	for _, bad := range []string{"", "1,2", "1,2,3,4,5", "a,0,3", "-1,0,3", "1,,3"} {
-		_, err := choice.ParseReading(bad, now)
-		g.Expect(err).To(MatchError(choice.ErrReading), bad)
+		_, err := load.Parse(bad, now)
+		g.Expect(err).To(MatchError(load.ErrReport), bad)
 	}
 }
 
 func TestOfTwoTargetsTheOneThatAnswersSoonerIsPredictedSooner(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		better, worse  choice.Reading
+		better, worse  load.Report
 		crowdingFactor float64
 	}{
 		{"the emptier one", reading(0, 0, 3, 1), reading(1, 0, 3, 1), 1},
@@ -56,12 +56,12 @@
 	g.Expect(reading(0, 0, 1, 1).Predict(usual, 4)).To(Equal(usual))
 }
 
-func FuzzParseReading(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	f.Add("3,0,8,100")
 	f.Add(",,,")
 	f.Add("9999999999999999999,0,1")
 	f.Fuzz(func(t *testing.T, text string) {
-		r, err := choice.ParseReading(text, time.Unix(0, 0))
+		r, err := load.Parse(text, time.Unix(0, 0))
 		if err == nil && (r.Slots < 1 || r.Running < 0 || r.Waiting < 0 || r.Slowness <= 0 || r.Predict(usual, 1) < 0 && r.Running < 1000) {
 			t.Fatalf("%q gave %+v", text, r)
 		}
--- a/e2e/gateway/soak_test.go
+++ b/e2e/gateway/soak_test.go
@@ -17,7 +17,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/sprucecrank/sprucecrank/internal/cli/story"
+	"github.com/sprucecrank/sprucecrank/internal/cli/timeline"
 	"github.com/sprucecrank/sprucecrank/internal/standin/faultproxy"
 	"github.com/sprucecrank/sprucecrank/platform/storetest"
 )
@@ -473,7 +473,7 @@
 		raw, _ := os.ReadFile(g.log)
 		all = append(all, raw...)
 	}
-	logs, err := story.Read(bytes.NewReader(all))
+	logs, err := timeline.Read(bytes.NewReader(all))
 	if err != nil {
 		return err.Error()
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,7 +26,7 @@
 
 	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/internal/gateway/feed"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/forward"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/lifecycle"
@@ -34,8 +34,8 @@
 	"github.com/sprucecrank/sprucecrank/internal/telemetry"
 )
 
-// Source reads the store; see feed.Source.
-type Source = feed.Source
+// Source reads the store; see discovery.Source.
+type Source = discovery.Source
 
 // Options are what a gateway takes from its process.
 type Options struct {
@@ -54,7 +54,7 @@
 	settings  atomic.Pointer[Settings]
 	options   Options
 	log       *slog.Logger
-	feed      *feed.Feed
+	discovery *discovery.Follower
 	pool      *upstream.Pool
 	forward   *forward.Handler
 	metrics   *telemetry.Gateway
@@ -140,8 +140,8 @@
 	watchSlack    = 200 * time.Millisecond
 )
 
-func timing(s Settings) feed.Timing {
-	return feed.Timing{
+func timing(s Settings) discovery.Timing {
+	return discovery.Timing{
 		Poll:        seconds(pollPart * s.ApplyWithin),
 		PollSlack:   seconds(pollSlackPart * s.ApplyWithin),
 		SilentAfter: seconds(silentPart * s.ApplyWithin),
@@ -165,14 +165,14 @@
 		}
 	}
 	self := member.Box{ID: s.ID, Peer: s.peerAddress(), Hall: s.Hall, Start: uint64(o.Clock().UnixNano())}
-	g.feed = feed.New(feed.Options{
+	g.discovery = discovery.New(discovery.Options{
 		Self: self, FirstStart: s.FirstStart, Seeds: func() []string { return g.settings.Load().Seeds },
 		Source: o.Source, Decode: o.Decode, Timing: timing(s), Clock: o.Clock, Log: g.log, Metrics: g.metrics,
 	})
 	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Opened: g.metrics.Opened})
 	g.forward = forward.New(forward.Options{
-		Names: o.Wire.Headers, Hall: s.Hall, View: g.feed.View, Current: g.feed.Current,
-		Ready: g.feed.Ready(), Stopping: g.stopping.Load, Pool: g.pool, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
+		Names: o.Wire.Headers, Hall: s.Hall, View: g.discovery.View, Current: g.discovery.Current,
+		Ready: g.discovery.Ready(), Stopping: g.stopping.Load, Pool: g.pool, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
 		Retry: forward.Retry{Window: seconds(s.RetryWindow), Ratio: s.RetryRatio},
 	})
 	return nil
@@ -180,8 +180,8 @@
 
 // state is what the metrics tell of this moment.
 func (g *Gateway) state() telemetry.State {
-	state := telemetry.State{Active: g.forward.Active(), ConfigAge: g.feed.Age().Seconds()}
-	if table := g.feed.View().Table; table != nil {
+	state := telemetry.State{Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds()}
+	if table := g.discovery.View().Table; table != nil {
 		state.ConfigVersion = table.Version()
 	}
 	if g.options.LogDropped != nil {
@@ -220,11 +220,11 @@
 	duties, endDuties := context.WithCancel(context.WithoutCancel(ctx))
 	defer endDuties()
 	for _, duty := range []lifecycle.Duty{
-		g.feed.Follow, g.feed.ReadConfig, g.feed.ReadTargets, g.feed.Ping, pause.Every(retainEvery, g.retain),
+		g.discovery.Follow, g.discovery.ReadConfig, g.discovery.ReadTargets, g.discovery.Ping, pause.Every(retainEvery, g.retain),
 	} {
 		group.Add(func() error { return lifecycle.UntilEnded(duties, duty) }, func(error) { endDuties() })
 	}
-	group.Add(func() error { return g.feed.Serve(g.listeners.peers) }, func(error) { _ = g.listeners.peers.Close() })
+	group.Add(func() error { return g.discovery.Serve(g.listeners.peers) }, func(error) { _ = g.listeners.peers.Close() })
 	group.Add(func() error { return ready.Serve(g.listeners.ready) }, func(error) { _ = ready.Close() })
 	if g.listeners.metrics != nil {
 		metrics := &http.Server{Handler: g.metrics.Handler()}
@@ -270,7 +270,7 @@
 		return false
 	}
 	select {
-	case <-g.feed.Ready():
+	case <-g.discovery.Ready():
 		return true
 	default:
 		return false
@@ -280,7 +280,7 @@
 // retain closes connections to targets that are gone or that rest too long.
 func (g *Gateway) retain(context.Context) {
 	known := map[string]bool{}
-	for _, targets := range g.feed.View().Targets {
+	for _, targets := range g.discovery.View().Targets {
 		for _, s := range targets {
 			known[s.ID] = true
 		}
@@ -294,7 +294,7 @@
 	within := seconds(g.settings.Load().StopWithin)
 	g.log.Info("stopping", "within_s", within.Seconds(), "active", g.forward.Active())
 	g.stopping.Store(true)
-	g.feed.SetLeaving()
+	g.discovery.SetLeaving()
 	time.Sleep(time.Duration(acceptPart * float64(within)))
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration((lastPart-acceptPart)*float64(within)))
 	defer cancel()
--- a/internal/box/entry/tries.go
+++ b/internal/box/entry/tries.go
@@ -8,8 +8,8 @@
 
 	"go.opentelemetry.io/otel/attribute"
 
+	"github.com/sprucecrank/sprucecrank/core/box/budget"
 	"github.com/sprucecrank/sprucecrank/core/box/health"
-	"github.com/sprucecrank/sprucecrank/core/budget"
 	"github.com/sprucecrank/sprucecrank/internal/box/grant"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
--- a/internal/box/probe/probe.go
+++ b/internal/box/probe/probe.go
@@ -18,9 +18,9 @@
 	"sync"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/core/box/budget"
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
-	"github.com/sprucecrank/sprucecrank/core/budget"
 	"github.com/sprucecrank/sprucecrank/internal/box/entry"
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
--- a/internal/cli/explaincmd/explaincmd.go
+++ b/internal/cli/explaincmd/explaincmd.go
@@ -16,7 +16,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
-	"github.com/sprucecrank/sprucecrank/internal/cli/story"
+	"github.com/sprucecrank/sprucecrank/internal/cli/timeline"
 )
 
 type options struct {
@@ -78,7 +78,7 @@
 	return print(o, told)
 }
 
-func read(o *options) (*story.Logs, error) {
+func read(o *options) (*timeline.Logs, error) {
 	var all bytes.Buffer
 	for _, file := range o.files {
 		raw, err := o.factory.ReadInput(file)
@@ -88,13 +88,13 @@
 		all.Write(raw)
 		all.WriteByte('\n')
 	}
-	return story.Read(&all)
+	return timeline.Read(&all)
 }
 
-func printFailed(o *options, logs *story.Logs) error {
+func printFailed(o *options, logs *timeline.Logs) error {
 	ids := logs.NotServed()
 	if o.json {
-		stories := make([]story.Story, 0, len(ids))
+		stories := make([]timeline.Story, 0, len(ids))
 		for _, id := range ids {
 			told, _ := logs.Of(id)
 			stories = append(stories, told)
@@ -111,7 +111,7 @@
 	return cmdutil.Table(o.factory.IO, []string{"REQUEST", "STATUS", "CAUSE"}, rows)
 }
 
-func print(o *options, told story.Story) error {
+func print(o *options, told timeline.Story) error {
 	table := tabwriter.NewWriter(o.factory.IO.Out, 0, 0, 2, ' ', 0)
 	for i, line := range told.Lines {
 		began := line.Time.Add(-time.Duration(line.HeldMS * float64(time.Millisecond)))
@@ -131,7 +131,7 @@
 	return table.Flush()
 }
 
-func comeBack(line story.Line) string {
+func comeBack(line timeline.Line) string {
 	if line.RetryAfterMS <= 0 {
 		return ""
 	}
--- a/internal/cli/story/story.go
+++ b/internal/cli/timeline/timeline.go
@@ -1,11 +1,11 @@
-// Package story reads the logs of many gateways and tells what became of one
+// Package timeline reads the logs of many gateways and tells what became of one
 // request. Lines that are not whole are counted and left out.
 //
 // # Usage
 //
 //	logs, err := story.Read(reader)
 //	told, ok := logs.Of("9c41d07be2a35f68")
-package story
+package timeline
 
 import (
 	"bufio"
--- a/internal/cli/story/story_test.go
+++ b/internal/cli/timeline/timeline_test.go
@@ -1,4 +1,4 @@
-package story_test
+package timeline_test
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
-	"github.com/sprucecrank/sprucecrank/internal/cli/story"
+	"github.com/sprucecrank/sprucecrank/internal/cli/timeline"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/forward"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/headers"
@@ -120,7 +120,7 @@
 			log := &syncBuffer{}
 			f.play(t, log)
 			g.Eventually(log.text, 20*time.Second).Should(ContainSubstring(`"request":"the-request"`))
-			logs, err := story.Read(strings.NewReader("12.5 machine-1 " + log.text()))
+			logs, err := timeline.Read(strings.NewReader("12.5 machine-1 " + log.text()))
 			g.Expect(err).NotTo(HaveOccurred())
 			told, ok := logs.Of("the-request")
 			g.Expect(ok).To(BeTrue())
@@ -207,7 +207,7 @@
 
 func TestTornAndForeignLinesAreLeftOut(t *testing.T) {
 	g := NewWithT(t)
-	logs, err := story.Read(strings.NewReader("no json here\n{\"msg\":\"served\",\"request\":\"a\",\"status\":200}\n{\"msg\":\"ser\n{\"msg\":\"started\"}\n"))
+	logs, err := timeline.Read(strings.NewReader("no json here\n{\"msg\":\"served\",\"request\":\"a\",\"status\":200}\n{\"msg\":\"ser\n{\"msg\":\"started\"}\n"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(logs.Torn()).To(Equal(1))
 	g.Expect(logs.Requests()).To(Equal(1))
@@ -217,7 +217,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("{\"request\":\"a\",\"sends\":[{\"target\":\"x\"}]}\n"))
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		logs, err := story.Read(bytes.NewReader(raw))
+		logs, err := timeline.Read(bytes.NewReader(raw))
 		if err != nil {
 			return
 		}
--- a/internal/gateway/feed/feed.go
+++ b/internal/gateway/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package feed keeps what a gateway believes of the configuration and of the
+// Package discovery keeps what a gateway believes of the configuration and of the
 // targets up to date. A few gateways read the store; all others hear the news
 // from those, through one gateway of their hall. A gateway that hears nothing
 // in time reads for itself, so that nobody's knowledge depends on the others.
@@ -11,7 +11,7 @@
 //	f := feed.New(feed.Options{Self: self, Source: source, Decode: decode, ...})
 //	group.Add(f.Follow, ...); group.Add(f.ReadConfig, ...); group.Add(f.ReadTargets, ...)
 //	view := f.View()
-package feed
+package discovery
 
 import (
 	"context"
@@ -66,7 +66,7 @@
 	Ping func(ctx context.Context) error
 }
 
-// Timing holds the feed's times; see the settings for how they are derived.
+// Timing holds the follower's times; see the settings for how they are derived.
 type Timing struct {
 	// SilentAfter is how old news may be: the gateways next in rank read the
 	// store then, and others are no longer told by whoever has such news.
@@ -96,7 +96,7 @@
 	WatchSlack time.Duration
 }
 
-// Options configure a Feed.
+// Options configure a Follower.
 type Options struct {
 	Self member.Box
 	// FirstStart says that all gateways are starting for the first time, so that
@@ -113,8 +113,8 @@
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Feed holds what is believed and how fresh it is.
-type Feed struct {
+// Follower holds what is believed and how fresh it is.
+type Follower struct {
 	options Options
 	started time.Time
 
@@ -152,8 +152,8 @@
 	once  sync.Once
 }
 
-// New makes a feed that knows nothing.
-func New(o Options) *Feed {
+// New makes a follower that knows nothing.
+func New(o Options) *Follower {
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
@@ -163,7 +163,7 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{}).DialContext
 	}
-	f := &Feed{
+	f := &Follower{
 		options: o, started: o.Clock(), catalog: catalog.New(), members: member.New(o.Self),
 		changed: make(chan struct{}), ready: make(chan struct{}), lostPeers: map[string]bool{},
 	}
@@ -172,13 +172,13 @@
 }
 
 // View is what is believed now.
-func (f *Feed) View() *forward.View { return f.view.Load() }
+func (f *Follower) View() *forward.View { return f.view.Load() }
 
 // Ready is closed once a configuration and the targets are known.
-func (f *Feed) Ready() <-chan struct{} { return f.ready }
+func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 // SetLeaving tells the other gateways that this one stops.
-func (f *Feed) SetLeaving() {
+func (f *Follower) SetLeaving() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members.SetLeaving()
@@ -187,7 +187,7 @@
 
 // Current says whether what is believed was confirmed lately, or this gateway's
 // own watches would tell of a change.
-func (f *Feed) Current() bool {
+func (f *Follower) Current() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -195,19 +195,19 @@
 }
 
 // Age is how long ago what is believed was confirmed.
-func (f *Feed) Age() time.Duration {
+func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.age(f.options.Clock())
 }
 
 // live says whether what is believed was confirmed lately.
-func (f *Feed) live(now time.Time) bool {
+func (f *Follower) live(now time.Time) bool {
 	return f.age(now) < f.options.Timing.SilentAfter
 }
 
 // age is how long ago what is believed was confirmed.
-func (f *Feed) age(now time.Time) time.Duration {
+func (f *Follower) age(now time.Time) time.Duration {
 	if f.confirmed.IsZero() {
 		return neverConfirmed
 	}
@@ -216,7 +216,7 @@
 
 // loggedAge is the age in seconds for a log line, -1 where nothing was confirmed;
 // the lock is held.
-func (f *Feed) loggedAge() float64 {
+func (f *Follower) loggedAge() float64 {
 	if f.confirmed.IsZero() {
 		return -1
 	}
@@ -227,25 +227,25 @@
 const neverConfirmed = time.Duration(math.MaxInt64)
 
 // readsItself says whether this gateway's own watches are in order.
-func (f *Feed) readsItself(now time.Time) bool {
+func (f *Follower) readsItself(now time.Time) bool {
 	return f.config.live(now, f.options.Timing) && f.targets.live(now, f.options.Timing)
 }
 
 // Reads says whether this gateway's own watches are in order.
-func (f *Feed) Reads() bool {
+func (f *Follower) Reads() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readsItself(f.options.Clock())
 }
 
 // wake tells those that wait for news; the lock is held.
-func (f *Feed) wake() {
+func (f *Follower) wake() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
 // apply works a change in under the lock and publishes what came of it.
-func (f *Feed) apply(from string, change func(c *catalog.Catalog) (config, targets bool)) {
+func (f *Follower) apply(from string, change func(c *catalog.Catalog) (config, targets bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.catalog.Position()
@@ -262,7 +262,7 @@
 }
 
 // decode puts the catalog's configuration in force.
-func (f *Feed) decode(from string) {
+func (f *Follower) decode(from string) {
 	table, err := f.options.Decode(f.catalog.Config())
 	if err != nil {
 		f.options.Log.Error("configuration not understood; the one before stays in force", "version", f.catalog.Position().Config, "error", err.Error())
@@ -273,7 +273,7 @@
 }
 
 // publish makes the view that the data path uses.
-func (f *Feed) publish(from string) {
+func (f *Follower) publish(from string) {
 	before := f.view.Load().Targets
 	v := &forward.View{Table: f.table, Targets: map[string][]catalog.Target{}}
 	for _, s := range f.catalog.Targets() {
@@ -290,7 +290,7 @@
 
 // logTargets writes which targets take requests now that did not before, and
 // which no longer do.
-func (f *Feed) logTargets(from string, before, now map[string][]catalog.Target) {
+func (f *Follower) logTargets(from string, before, now map[string][]catalog.Target) {
 	in, out := lacking(before, now), lacking(now, before)
 	if len(in)+len(out) == 0 {
 		return
--- a/internal/gateway/feed/feed_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package discovery_test
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/internal/gateway/feed"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 	"github.com/sprucecrank/sprucecrank/internal/standin/faultproxy"
 	"github.com/sprucecrank/sprucecrank/store"
 )
@@ -140,55 +140,55 @@
 	}
 }
 
-func (a *access) latest(from uint64) feed.ConfigChanges {
+func (a *access) latest(from uint64) discovery.ConfigChanges {
 	s := a.store
-	changes := feed.ConfigChanges{Revision: s.revision}
+	changes := discovery.ConfigChanges{Revision: s.revision}
 	if s.version > 0 && s.configAt > from {
 		body := s.body
 		if body == "" {
 			body = strconv.FormatUint(s.version, 10)
 		}
-		changes.Latest = &feed.ConfigObject{Version: s.version, Body: []byte(body)}
+		changes.Latest = &discovery.ConfigObject{Version: s.version, Body: []byte(body)}
 	}
 	return changes
 }
 
-func (a *access) source() feed.Source {
-	return feed.Source{
-		Config: func(ctx context.Context) (feed.ConfigChanges, error) {
+func (a *access) source() discovery.Source {
+	return discovery.Source{
+		Config: func(ctx context.Context) (discovery.ConfigChanges, error) {
 			if err := a.reach(ctx); err != nil {
-				return feed.ConfigChanges{}, err
+				return discovery.ConfigChanges{}, err
 			}
 			a.store.mu.Lock()
 			defer a.store.mu.Unlock()
 			return a.latest(0), nil
 		},
-		WatchConfig: func(ctx context.Context, from uint64, wait time.Duration) (feed.ConfigChanges, error) {
+		WatchConfig: func(ctx context.Context, from uint64, wait time.Duration) (discovery.ConfigChanges, error) {
 			if err := a.await(ctx, from, wait); err != nil {
-				return feed.ConfigChanges{}, err
+				return discovery.ConfigChanges{}, err
 			}
 			defer a.store.mu.Unlock()
 			return a.latest(from), nil
 		},
-		Targets: func(ctx context.Context) (feed.TargetList, error) {
+		Targets: func(ctx context.Context) (discovery.TargetList, error) {
 			if err := a.reach(ctx); err != nil {
-				return feed.TargetList{}, err
+				return discovery.TargetList{}, err
 			}
 			a.store.mu.Lock()
 			defer a.store.mu.Unlock()
-			list := feed.TargetList{Revision: a.store.revision}
+			list := discovery.TargetList{Revision: a.store.revision}
 			for _, target := range a.store.targets {
 				list.Targets = append(list.Targets, target)
 			}
 			return list, nil
 		},
 		Ping: a.reach,
-		WatchTargets: func(ctx context.Context, from uint64, wait time.Duration) (feed.TargetChanges, error) {
+		WatchTargets: func(ctx context.Context, from uint64, wait time.Duration) (discovery.TargetChanges, error) {
 			if err := a.await(ctx, from, wait); err != nil {
-				return feed.TargetChanges{}, err
+				return discovery.TargetChanges{}, err
 			}
 			defer a.store.mu.Unlock()
-			changes := feed.TargetChanges{Revision: a.store.revision}
+			changes := discovery.TargetChanges{Revision: a.store.revision}
 			for _, change := range a.store.changes {
 				if change.Revision > from {
 					changes.Changes = append(changes.Changes, change)
@@ -219,7 +219,7 @@
 
 // gateway is one feed with its listener and its access to the store.
 type gateway struct {
-	*feed.Feed
+	*discovery.Follower
 	access   *access
 	log      *lines
 	listener net.Listener
@@ -268,7 +268,7 @@
 	return ids
 }
 
-var timing = feed.Timing{
+var timing = discovery.Timing{
 	SilentAfter: time.Second, AloneAfter: 1500 * time.Millisecond, Ping: 100 * time.Millisecond,
 	Poll: 300 * time.Millisecond, PollSlack: 300 * time.Millisecond,
 	Watch: time.Second, WatchSlack: 300 * time.Millisecond, Batch: time.Millisecond, AloneBatch: time.Millisecond,
@@ -290,7 +290,7 @@
 	return fleetTimed(t, s, n, timing)
 }
 
-func fleetTimed(t *testing.T, s *fakeStore, n int, timing feed.Timing) []*gateway {
+func fleetTimed(t *testing.T, s *fakeStore, n int, timing discovery.Timing) []*gateway {
 	t.Helper()
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
@@ -312,13 +312,13 @@
 	return startTimed(t, id, i, listener, a, seeds, timing)
 }
 
-func startTimed(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing feed.Timing) *gateway {
+func startTimed(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing) *gateway {
 	t.Helper()
 	return startAs(t, id, i, listener, a, seeds, timing, false)
 }
 
 // startAs starts a gateway; first says that the whole fleet is new.
-func startAs(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing feed.Timing, first bool) *gateway {
+func startAs(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-" + strconv.Itoa(i%2), Start: uint64(time.Now().UnixNano())}
 	return startBox(t, self, listener, a, seeds, timing, first)
@@ -331,11 +331,11 @@
 	return startBox(t, self, listener, a, seeds, timing, false)
 }
 
-func startBox(t *testing.T, self member.Box, listener net.Listener, a *access, seeds []string, timing feed.Timing, first bool) *gateway {
+func startBox(t *testing.T, self member.Box, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	g := &gateway{access: a, listener: listener, stop: stop, log: &lines{}}
-	g.Feed = feed.New(feed.Options{
+	g.Follower = discovery.New(discovery.Options{
 		Self:  self,
 		Seeds: func() []string { return seeds }, Source: a.source(), Timing: timing, FirstStart: first,
 		Log: slog.New(slog.NewTextHandler(g.log, nil)),
@@ -524,7 +524,7 @@
 	other.kill()
 	again, err := net.Listen("tcp", at.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
-	first.Feed.Lose("other", at.Addr().String())
+	first.Follower.Lose("other", at.Addr().String())
 	start(t, "other", 0, again, &access{store: s}, []string{first.Addr().String()})
 	g.Eventually(first.log.String, eventual).Should(ContainSubstring(`msg="peer back" peer=other`))
 }
--- a/internal/gateway/feed/duty.go
+++ b/internal/gateway/discovery/duty.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import "time"
 
@@ -22,7 +22,7 @@
 // untilRead is how long this gateway need not make a call of a reading, as
 // things stand: not at all if it is one of the readers, or has heard no fresh
 // news for too long.
-func (f *Feed) untilRead(r *reading) time.Duration {
+func (f *Follower) untilRead(r *reading) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -40,7 +40,7 @@
 
 // noteDuty logs that the reading falls to this gateway from now on, or no longer;
 // the lock is held.
-func (f *Feed) noteDuty(reads bool) {
+func (f *Follower) noteDuty(reads bool) {
 	if reads == f.reads {
 		return
 	}
@@ -50,7 +50,7 @@
 
 // untilDuty is how long the reading does not fall to this gateway; the lock is
 // held.
-func (f *Feed) untilDuty(now time.Time) time.Duration {
+func (f *Follower) untilDuty(now time.Time) time.Duration {
 	position := f.catalog.Position()
 	knows := position.ConfigRevision > 0 && position.Targets > 0
 	if left := f.settleTime() - now.Sub(f.started); left > 0 && (knows || f.options.FirstStart) {
@@ -75,7 +75,7 @@
 }
 
 // settleTime is how long a gateway that has just begun looks for others.
-func (f *Feed) settleTime() time.Duration {
+func (f *Follower) settleTime() time.Duration {
 	if f.options.FirstStart {
 		return firstSettle
 	}
@@ -84,7 +84,7 @@
 
 // ranksBefore says whether another gateway is to read the store rather than this
 // one; the lock is held.
-func (f *Feed) ranksBefore(now time.Time, id string) bool {
+func (f *Follower) ranksBefore(now time.Time, id string) bool {
 	for _, box := range f.members.Ranked(now, dutyReader, allRanked) {
 		switch box.ID {
 		case id:
@@ -97,7 +97,7 @@
 }
 
 // rank is this gateway's place in the order of readers; the lock is held.
-func (f *Feed) rank(now time.Time) int {
+func (f *Follower) rank(now time.Time) int {
 	for i, box := range f.members.Ranked(now, dutyReader, allRanked) {
 		if box.ID == f.options.Self.ID {
 			return i
--- a/internal/gateway/feed/export_test.go
+++ b/internal/gateway/discovery/export_test.go
@@ -1,8 +1,8 @@
-package feed
+package discovery
 
 import "errors"
 
 var errTest = errors.New("lost by a test")
 
 // Lose does what follows when another gateway does not answer.
-func (f *Feed) Lose(id, address string) { f.lost(id, address, errTest) }
+func (f *Follower) Lose(id, address string) { f.lost(id, address, errTest) }
--- a/internal/gateway/feed/follow.go
+++ b/internal/gateway/discovery/follow.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 )
 
 const (
-	serviceName = "Feed"
+	serviceName = "Feed" // as processes of earlier versions name it
 	methodNews  = serviceName + ".News"
 	// dutyRelay names the duty of telling the other gateways of a hall.
 	dutyRelay = "relay/"
@@ -63,7 +63,7 @@
 }
 
 // Follow is the duty of asking another gateway for news.
-func (f *Feed) Follow(ctx context.Context) error {
+func (f *Follower) Follow(ctx context.Context) error {
 	var at link
 	defer at.close()
 	dull := map[string]time.Time{}
@@ -98,7 +98,7 @@
 
 // source picks whom to ask: the relay of the own hall, or, for the relay itself,
 // a gateway that reads the store. Without any, the seeds are tried in turn.
-func (f *Feed) source(dull map[string]time.Time, seed *int) (address, id string) {
+func (f *Follower) source(dull map[string]time.Time, seed *int) (address, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -132,7 +132,7 @@
 // readersToAsk lists gateways in the order in which to ask them for what they
 // read: the one that confirmed last what is believed, then by rank. Now and then
 // the first in rank comes first, so that it is found when it can read again.
-func (f *Feed) readersToAsk(now time.Time) []member.Box {
+func (f *Follower) readersToAsk(now time.Time) []member.Box {
 	ranked := f.members.Ranked(now, dutyReader, allRanked)
 	if now.Sub(f.triedFirst) > tryFirstEvery {
 		f.triedFirst = now
@@ -147,7 +147,7 @@
 }
 
 // noteSource logs that fresh news come from another gateway than before.
-func (f *Feed) noteSource(address, id string) {
+func (f *Follower) noteSource(address, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address == f.told {
@@ -157,7 +157,7 @@
 	f.told = address
 }
 
-func (f *Feed) lost(id, address string, err error) {
+func (f *Follower) lost(id, address string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id != "" {
@@ -170,7 +170,7 @@
 }
 
 // ask makes one question and works its answer in.
-func (f *Feed) ask(ctx context.Context, at *link, address string) (*NewsReply, error) {
+func (f *Follower) ask(ctx context.Context, at *link, address string) (*NewsReply, error) {
 	timing := f.options.Timing
 	if err := at.open(ctx, address, f.options.Dial, timing.PollSlack); err != nil {
 		return nil, err
@@ -201,7 +201,7 @@
 	return reply, nil
 }
 
-func (f *Feed) question(at *link) NewsArgs {
+func (f *Follower) question(at *link) NewsArgs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -213,7 +213,7 @@
 	return args
 }
 
-func (f *Feed) learn(from string, reply *NewsReply) {
+func (f *Follower) learn(from string, reply *NewsReply) {
 	f.apply(from, func(c *catalog.Catalog) (bool, bool) { return c.Merge(reply.Delta) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +228,7 @@
 const toldOfDuty = 5
 
 // sightings is whom this gateway tells another of; the lock is held.
-func (f *Feed) sightings(now time.Time) []member.Sighting {
+func (f *Follower) sightings(now time.Time) []member.Sighting {
 	duties := []member.Duty{{Name: dutyReader}}
 	for _, hall := range f.members.Halls() {
 		duties = append(duties, member.Duty{Name: dutyRelay + hall, Hall: hall})
@@ -238,7 +238,7 @@
 
 // meet takes in whom another gateway, the first of the sightings, has heard of;
 // the lock is held.
-func (f *Feed) meet(now time.Time, sightings []member.Sighting) {
+func (f *Follower) meet(now time.Time, sightings []member.Sighting) {
 	if len(sightings) == 0 {
 		return
 	}
--- a/internal/gateway/feed/outage.go
+++ b/internal/gateway/discovery/outage.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"errors"
@@ -15,14 +15,14 @@
 // isOutage says whether this gateway's calls failed, and nobody confirmed what is
 // believed, for so long that entries of targets may have lapsed for want of a
 // store to renew them in; the lock is held.
-func (f *Feed) isOutage(now time.Time) bool {
+func (f *Follower) isOutage(now time.Time) bool {
 	failing := f.config.broken || f.targets.broken
 	return failing && !f.confirmed.IsZero() && f.catalog.Position().Targets > 0 && f.age(now) > f.options.Timing.OutageAfter
 }
 
 // noteReturn notes the first answer of the store after an outage; the lock is
 // held.
-func (f *Feed) noteReturn(now time.Time) {
+func (f *Follower) noteReturn(now time.Time) {
 	if !f.isOutage(now) || f.returned.After(f.confirmed) {
 		return
 	}
@@ -32,7 +32,7 @@
 
 // isRestoring notes the store's return, if this is it, and says whether entries
 // of targets are still being restored.
-func (f *Feed) isRestoring() bool {
+func (f *Follower) isRestoring() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -40,13 +40,13 @@
 	return f.isRestoringAt(now)
 }
 
-func (f *Feed) isRestoringAt(now time.Time) bool {
+func (f *Follower) isRestoringAt(now time.Time) bool {
 	return !f.returned.IsZero() && now.Before(f.returned.Add(f.restoreTime(now)))
 }
 
 // untilRestored is how long the targets should not be read; the lock is held.
 // While the configuration can't be read either, they are not asked for.
-func (f *Feed) untilRestored(now time.Time) time.Duration {
+func (f *Follower) untilRestored(now time.Time) time.Duration {
 	if f.isRestoringAt(now) {
 		return f.returned.Add(f.restoreTime(now)).Sub(now)
 	}
@@ -58,7 +58,7 @@
 
 // restoreTime is how long after the store's return this gateway reads the
 // targets; the lock is held.
-func (f *Feed) restoreTime(now time.Time) time.Duration {
+func (f *Follower) restoreTime(now time.Time) time.Duration {
 	if f.rank(now) < readers {
 		return f.options.Timing.Restore
 	}
--- a/internal/gateway/feed/outage_test.go
+++ b/internal/gateway/discovery/outage_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"testing"
--- a/internal/gateway/feed/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 // Ping is the duty of confirming, between the answers of the watches, that the
 // store can be reached, as long as other gateways rely on this one: a watch
 // whose path is cut waits in silence.
-func (f *Feed) Ping(ctx context.Context) error {
+func (f *Follower) Ping(ctx context.Context) error {
 	for pause.For(ctx, f.options.Timing.Ping) {
 		at := f.options.Clock()
 		if !f.relied(at) {
@@ -26,19 +26,19 @@
 
 // relied says whether this gateway's watches are in order and others ask for
 // what they tell.
-func (f *Feed) relied(now time.Time) bool {
+func (f *Follower) relied(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readsItself(now) && f.isAsked(now)
 }
 
 // isAsked says whether other gateways ask this one for news; the lock is held.
-func (f *Feed) isAsked(now time.Time) bool {
+func (f *Follower) isAsked(now time.Time) bool {
 	timing := f.options.Timing
 	return !f.asked.IsZero() && now.Sub(f.asked) < timing.Poll+timing.PollSlack
 }
 
-func (f *Feed) pinged(at time.Time, err error) {
+func (f *Follower) pinged(at time.Time, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
--- a/internal/gateway/feed/read.go
+++ b/internal/gateway/discovery/read.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"context"
@@ -28,19 +28,19 @@
 )
 
 // ReadConfig is the duty of watching the configuration in the store.
-func (f *Feed) ReadConfig(ctx context.Context) error {
+func (f *Follower) ReadConfig(ctx context.Context) error {
 	return f.read(ctx, "config", &f.config, f.stepConfig)
 }
 
 // ReadTargets is the duty of watching the targets in the store.
-func (f *Feed) ReadTargets(ctx context.Context) error {
+func (f *Follower) ReadTargets(ctx context.Context) error {
 	return f.read(ctx, "targets", &f.targets, f.stepTargets)
 }
 
 // step makes one call to the store; whole asks for a list and not a watch.
 type step func(ctx context.Context, whole bool) error
 
-func (f *Feed) read(ctx context.Context, name string, r *reading, next step) error {
+func (f *Follower) read(ctx context.Context, name string, r *reading, next step) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval = firstRetry
 	whole := false
@@ -73,7 +73,7 @@
 
 // call makes one call to the store. After one that failed it pings first: that
 // costs less while the store stays away.
-func (f *Feed) call(ctx context.Context, name string, r *reading, whole bool, next step) error {
+func (f *Follower) call(ctx context.Context, name string, r *reading, whole bool, next step) error {
 	timing := f.options.Timing
 	if f.begin(r) {
 		callCtx, cancel := context.WithTimeout(ctx, timing.SilentAfter)
@@ -92,7 +92,7 @@
 
 // batch is the pause after news from the store. Where no other gateway asks for
 // them, nothing is lost on their way, and more of them may gather.
-func (f *Feed) batch() time.Duration {
+func (f *Follower) batch() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isAsked(f.options.Clock()) {
@@ -103,7 +103,7 @@
 
 // longestRetry is the longest pause between two calls while the store fails.
 // Gateways that others turn to first try more often.
-func (f *Feed) longestRetry() time.Duration {
+func (f *Follower) longestRetry() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rank(f.options.Clock()) < readers+standbys {
@@ -120,7 +120,7 @@
 )
 
 // begin notes that a call begins and says whether the one before it failed.
-func (f *Feed) begin(r *reading) (failedBefore bool) {
+func (f *Follower) begin(r *reading) (failedBefore bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r.began = f.options.Clock()
@@ -128,7 +128,7 @@
 }
 
 // end works in how a call of a reading ended.
-func (f *Feed) end(name string, r *reading, err error) {
+func (f *Follower) end(name string, r *reading, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r.began = time.Time{}
@@ -157,7 +157,7 @@
 
 // setBroken notes whether the latest call of a reading failed, and logs a change;
 // the lock is held.
-func (f *Feed) setBroken(name string, r *reading, err error) {
+func (f *Follower) setBroken(name string, r *reading, err error) {
 	broken := err != nil
 	if broken == r.broken {
 		return
@@ -176,7 +176,7 @@
 
 // confirm notes that what is believed was all that the store held at a moment,
 // by the reading of the gateway origin; the lock is held.
-func (f *Feed) confirm(at time.Time, origin string) {
+func (f *Follower) confirm(at time.Time, origin string) {
 	if at.After(f.confirmed) {
 		if at.Sub(f.confirmed) > f.options.Timing.SilentAfter/2 {
 			f.wake() // those that ask have old news, too
@@ -197,7 +197,7 @@
 
 // idle waits until the reading may fall to this gateway: after a time, or when
 // something is heard.
-func (f *Feed) idle(ctx context.Context, wait time.Duration) bool {
+func (f *Follower) idle(ctx context.Context, wait time.Duration) bool {
 	f.mu.Lock()
 	changed := f.changed
 	f.mu.Unlock()
@@ -212,13 +212,13 @@
 	return true
 }
 
-func (f *Feed) position() catalog.Position {
+func (f *Follower) position() catalog.Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.catalog.Position()
 }
 
-func (f *Feed) stepConfig(ctx context.Context, whole bool) error {
+func (f *Follower) stepConfig(ctx context.Context, whole bool) error {
 	from := f.position().ConfigRevision
 	if whole || from == 0 {
 		now, err := f.options.Source.Config(ctx)
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func (f *Feed) takeConfig(changes ConfigChanges) {
+func (f *Follower) takeConfig(changes ConfigChanges) {
 	f.apply("store", func(c *catalog.Catalog) (bool, bool) {
 		latest := changes.Latest
 		changed := latest != nil && c.SetConfig(latest.Version, latest.Body)
@@ -245,7 +245,7 @@
 	})
 }
 
-func (f *Feed) stepTargets(ctx context.Context, whole bool) error {
+func (f *Follower) stepTargets(ctx context.Context, whole bool) error {
 	from := f.position().Targets
 	if whole || from == 0 {
 		list, err := f.options.Source.Targets(ctx)
@@ -276,7 +276,7 @@
 // wait is how long the next watch of a reading waits for changes: hardly at all
 // if it is the first, so that what is believed is confirmed at once. Others vary,
 // so that they don't end together.
-func (f *Feed) wait(r *reading) time.Duration {
+func (f *Follower) wait(r *reading) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.answered.IsZero() || r.broken {
--- a/internal/gateway/feed/reading.go
+++ b/internal/gateway/discovery/reading.go
@@ -1,8 +1,8 @@
-package feed
+package discovery
 
 import "time"
 
-// reading is how one of the watches stands; the feed's lock guards it.
+// reading is how one of the watches stands; the follower's lock guards it.
 type reading struct {
 	// began is when the call under way began; zero when there is none.
 	began time.Time
--- a/internal/gateway/feed/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"net"
@@ -7,7 +7,7 @@
 )
 
 // methods are what other gateways may call.
-type methods struct{ feed *Feed }
+type methods struct{ feed *Follower }
 
 // News answers once the caller lacks something or its wait is over.
 func (m *methods) News(args NewsArgs, reply *NewsReply) error {
@@ -15,7 +15,7 @@
 }
 
 // Serve takes questions of other gateways until the listener is closed.
-func (f *Feed) Serve(l net.Listener) error {
+func (f *Follower) Serve(l net.Listener) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &methods{feed: f}); err != nil {
 		return err
@@ -29,7 +29,7 @@
 	}
 }
 
-func (f *Feed) answer(args NewsArgs, reply *NewsReply) error {
+func (f *Follower) answer(args NewsArgs, reply *NewsReply) error {
 	f.mu.Lock()
 	now := f.options.Clock()
 	f.asked = now
@@ -53,7 +53,7 @@
 
 // await waits while the caller lacks nothing and this gateway's news are fresh,
 // or about to be.
-func (f *Feed) await(args NewsArgs) {
+func (f *Follower) await(args NewsArgs) {
 	asked := f.options.Clock()
 	timer := time.NewTimer(args.Wait)
 	defer timer.Stop()
@@ -75,7 +75,7 @@
 // hasAnswer says whether there is something to tell now: news, a word that
 // confirms the caller's old ones, or that this gateway is of no use to it; the
 // lock is held.
-func (f *Feed) hasAnswer(args NewsArgs, asked time.Time) bool {
+func (f *Follower) hasAnswer(args NewsArgs, asked time.Time) bool {
 	now := f.options.Clock()
 	at := f.catalog.Position()
 	ahead := at.Config > args.At.Config || at.Targets > args.At.Targets
--- a/internal/gateway/forward/ask.go
+++ b/internal/gateway/forward/ask.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
-	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/load"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 )
 
@@ -231,7 +231,7 @@
 	for _, target := range targets {
 		conn, failure := b.options.Pool.Get(ctx, target)
 		if failure == nil {
-			return &candidate{target: target, conn: conn, well: true, reading: choice.Reading{Slots: target.Slots, Slowness: 1}}
+			return &candidate{target: target, conn: conn, well: true, reading: load.Report{Slots: target.Slots, Slowness: 1}}
 		}
 		if ctx.Err() != nil {
 			return nil
--- a/internal/gateway/forward/learning.go
+++ b/internal/gateway/forward/learning.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/load"
 	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 )
@@ -38,7 +38,7 @@
 )
 
 // succeeded learns the usual time and the size of answers of a route.
-func (s *service) succeeded(id string, route *routing.Route, took time.Duration, size int, reading choice.Reading) {
+func (s *service) succeeded(id string, route *routing.Route, took time.Duration, size int, reading load.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sizes[route.Name] += sizeStep * (float64(size) - s.sizes[route.Name])
@@ -91,7 +91,7 @@
 
 // predict is the time that a target of the service would take for a request,
 // and whether that is longer for want of room.
-func (s *service) predict(route *routing.Route, reading choice.Reading) (took time.Duration, crowded bool) {
+func (s *service) predict(route *routing.Route, reading load.Report) (took time.Duration, crowded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	crowded = reading.Free() == 0 || reading.LastSlot() && s.crowding > easyCrowding
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
-	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/load"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 	"github.com/sprucecrank/sprucecrank/verdict"
@@ -41,7 +41,7 @@
 type candidate struct {
 	target    catalog.Target
 	conn      *upstream.Conn
-	reading   choice.Reading
+	reading   load.Report
 	known     bool // the reading is one
 	well      bool
 	predicted time.Duration
--- a/internal/gateway/forward/services.go
+++ b/internal/gateway/forward/services.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/budget"
+	"github.com/sprucecrank/sprucecrank/core/gateway/budget"
 )
 
 const (
@@ -37,7 +37,7 @@
 	if s.byName[name] == nil {
 		retry := s.options.Retry
 		s.byName[name] = &service{
-			budget:  budget.NewWindow(retry.Window, retry.Ratio, allowance),
+			budget:  budget.New(retry.Window, retry.Ratio, allowance),
 			medians: map[string]median{}, sizes: map[string]float64{}, targets: map[string]*targetState{},
 			crowding: firstCrowding, waited: map[int]time.Time{},
 			name: name, log: s.options.Log,
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/load"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
@@ -44,7 +44,7 @@
 	// Refused says that the target promises not to run the request.
 	Refused bool
 	// Load is the target's load, if it told it.
-	Load    choice.Reading
+	Load    load.Report
 	HasLoad bool
 }
 
@@ -175,7 +175,7 @@
 	names := c.pool.options.Names
 	a := &Answer{Status: r.StatusCode, Header: r.Header, Body: body}
 	a.Refused = r.Header.Get(names.NotRun) != "" || r.StatusCode == http.StatusMisdirectedRequest
-	if load, err := choice.ParseReading(r.Header.Get(names.Load), c.pool.options.Clock()); err == nil {
+	if load, err := load.Parse(r.Header.Get(names.Load), c.pool.options.Clock()); err == nil {
 		a.Load, a.HasLoad = load, true
 	}
 	return a
@@ -216,7 +216,7 @@
 // Health is what a target says of itself.
 type Health struct {
 	Well    bool
-	Load    choice.Reading
+	Load    load.Report
 	HasLoad bool
 }
 
@@ -246,7 +246,7 @@
 	c.learnIdle(response.Header)
 	c.reusable = c.net.SetDeadline(time.Time{}) == nil && framed && !response.Close && c.reader.Buffered() == 0
 	h := Health{Well: response.StatusCode == http.StatusOK}
-	if load, err := choice.ParseReading(response.Header.Get(names.Load), c.pool.options.Clock()); err == nil {
+	if load, err := load.Parse(response.Header.Get(names.Load), c.pool.options.Clock()); err == nil {
 		h.Load, h.HasLoad = load, true
 	}
 	return h, nil
