--- /dev/null
+++ b/core/gateway/freshness/freshness.go
@@ -0,0 +1,139 @@
+// Package freshness keeps how old a gateway's knowledge of the store is: when, and
+// by whose reading, it was last known to be all that the store holds.
+//
+// It owns the state of the gateway's own two watches (Watch), the age and origin of
+// what it believes (Tracker), and what is known of an outage of the store
+// (outage.go). It relies on nothing else, does no I/O and reads no clock.
+//
+// Knowledge has an age because a watch whose path is cut waits in silence: no
+// answer means no change only as long as the path is known to stand. Age only
+// grows on the way from gateway to gateway, so two can't hold each other fresh; a
+// hunt that broke the rule on configurations in force led to it
+// (docs/INCIDENTS.md).
+//
+// # Usage
+//
+//	tracker := freshness.New(timing)
+//	tracker.Config().Begin(now)
+//	tracker.Answered(tracker.Config(), now, "gateway-1")
+//	if tracker.Age(now) > limit {
+//		// nobody has confirmed for too long
+//	}
+package freshness
+
+import (
+	"math"
+	"time"
+)
+
+// Never is the age of what no gateway has confirmed yet.
+const Never = time.Duration(math.MaxInt64)
+
+// Timing holds the times by which knowledge is judged.
+type Timing struct {
+	// Fresh is the age below which knowledge counts as fresh.
+	Fresh time.Duration
+	// Watch is how long one watch of the store waits for changes, and WatchSlack
+	// how much later its answer may come.
+	Watch      time.Duration
+	WatchSlack time.Duration
+	// Outage is how long nothing can be confirmed before entries of targets may
+	// have lapsed in the store.
+	Outage time.Duration
+}
+
+// Tracker holds a gateway's freshness. It is not safe for concurrent use.
+type Tracker struct {
+	timing  Timing
+	config  Watch
+	targets Watch
+	// confirmed is the latest moment at which, by own calls or those of other
+	// gateways, what is believed was all that the store held.
+	confirmed time.Time
+	// origin is the id of the gateway whose reading confirmed it then.
+	origin string
+	// outranked is the latest such moment by the reading of a gateway that ranks
+	// before this one.
+	outranked time.Time
+	// returned is when the store first answered after its latest outage.
+	returned time.Time
+}
+
+// New makes a tracker of a gateway that knows nothing.
+func New(t Timing) *Tracker { return &Tracker{timing: t} }
+
+// Config is the state of the watch of the configuration.
+func (t *Tracker) Config() *Watch { return &t.config }
+
+// Targets is the state of the watch of the targets.
+func (t *Tracker) Targets() *Watch { return &t.targets }
+
+// Age is how long ago what is believed was confirmed; Never if it was not.
+func (t *Tracker) Age(now time.Time) time.Duration {
+	if t.confirmed.IsZero() {
+		return Never
+	}
+	return now.Sub(t.confirmed)
+}
+
+// Confirmed says whether what is believed was ever confirmed.
+func (t *Tracker) Confirmed() bool { return !t.confirmed.IsZero() }
+
+// Fresh says whether what is believed was confirmed lately.
+func (t *Tracker) Fresh(now time.Time) bool { return t.Age(now) < t.timing.Fresh }
+
+// Origin is the id of the gateway whose reading last confirmed what is believed.
+func (t *Tracker) Origin() string { return t.origin }
+
+// OutrankedAge is how long ago the reading of a gateway that ranks before this one
+// confirmed what is believed.
+func (t *Tracker) OutrankedAge(now time.Time) time.Duration { return now.Sub(t.outranked) }
+
+// Reads says whether the gateway's own watches are in order, so that a change
+// would be told at once.
+func (t *Tracker) Reads(now time.Time) bool {
+	return t.config.live(now, t.timing) && t.targets.live(now, t.timing)
+}
+
+// Failing says whether the latest call of one of the watches failed.
+func (t *Tracker) Failing() bool { return t.config.failing || t.targets.failing }
+
+// Answered notes that a watch was answered, as self's own reading. Like Confirm it
+// reports whether what is believed had grown old.
+func (t *Tracker) Answered(w *Watch, now time.Time, self string) (wasOld bool) {
+	w.answered, w.confirmed = now, now
+	return t.confirmSelf(self)
+}
+
+// Pinged notes that a ping that began at a moment reached the store: a watch that
+// waited then had nothing to tell. Like Confirm it reports whether what is believed
+// had grown old.
+func (t *Tracker) Pinged(at time.Time, self string) (wasOld bool) {
+	t.config.pinged(at, t.timing)
+	t.targets.pinged(at, t.timing)
+	return t.confirmSelf(self)
+}
+
+// confirmSelf confirms what both of the gateway's own watches confirm.
+func (t *Tracker) confirmSelf(self string) (wasOld bool) {
+	at := t.config.confirmed
+	if t.targets.confirmed.Before(at) {
+		at = t.targets.confirmed
+	}
+	return t.Confirm(at, self, false)
+}
+
+// Confirm notes that what is believed was all that the store held at a moment, by
+// the reading of the gateway origin; outranks says whether that gateway ranks
+// before this one. It reports whether what is believed had grown old, so that
+// those who ask this gateway have old knowledge, too.
+func (t *Tracker) Confirm(at time.Time, origin string, outranks bool) (wasOld bool) {
+	if at.After(t.confirmed) {
+		wasOld = at.Sub(t.confirmed) > t.timing.Fresh/2
+		t.confirmed, t.origin = at, origin
+	}
+	if outranks && at.After(t.outranked) {
+		t.outranked = at
+	}
+	return wasOld
+}
--- /dev/null
+++ b/internal/gateway/discovery/calls.go
@@ -0,0 +1,99 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
+)
+
+// errRestoring says that targets were read too soon after an outage of the store:
+// entries that lapsed meanwhile are being made again.
+var errRestoring = errors.New("the entries of targets are being restored after an outage of the store")
+
+// callConfig makes one call for the configuration.
+func (f *Follower) callConfig(ctx context.Context, whole bool) error {
+	changes, err := f.configChanges(ctx, whole)
+	if err != nil {
+		return err
+	}
+	f.apply(fromStore, func(c *catalog.Catalog) (bool, bool) {
+		latest := changes.Latest
+		changed := latest != nil && c.SetConfig(latest.Version, latest.Body)
+		c.SeenConfig(changes.Revision)
+		return changed, false
+	})
+	return nil
+}
+
+func (f *Follower) configChanges(ctx context.Context, whole bool) (ConfigChanges, error) {
+	from := f.position().ConfigRevision
+	if whole || from == 0 {
+		return f.options.Source.Config(ctx)
+	}
+	return f.options.Source.WatchConfig(ctx, from, f.waitFor(f.fresh.Config()))
+}
+
+// callTargets makes one call for the targets.
+func (f *Follower) callTargets(ctx context.Context, whole bool) error {
+	update, err := f.targetsUpdate(ctx, whole)
+	if err != nil {
+		return err
+	}
+	if f.noteAnswer() {
+		return errRestoring
+	}
+	f.apply(fromStore, update)
+	return nil
+}
+
+// targetsUpdate reads the targets, or what has changed of them, and returns how
+// the catalog takes it in.
+func (f *Follower) targetsUpdate(ctx context.Context, whole bool) (change, error) {
+	from := f.position().Targets
+	if whole || from == 0 {
+		list, err := f.options.Source.Targets(ctx)
+		return func(c *catalog.Catalog) (bool, bool) { return false, c.Replace(list.Revision, list.Targets) }, err
+	}
+	changes, err := f.options.Source.WatchTargets(ctx, from, f.waitFor(f.fresh.Targets()))
+	return func(c *catalog.Catalog) (bool, bool) { return false, c.Advance(changes.Revision, changes.Changes) }, err
+}
+
+// noteAnswer notes the store's return, if this answer is it, and says whether
+// entries of targets are still being restored.
+func (f *Follower) noteAnswer() (restoring bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.options.Clock()
+	f.noteReturn(now)
+	return f.fresh.UntilRestored(now, f.restoreDelay(now)) > 0
+}
+
+// noteReturn notes, and logs, the first answer of the store after an outage; the
+// lock is held.
+func (f *Follower) noteReturn(now time.Time) {
+	away := f.fresh.Age(now)
+	if f.fresh.NoteReturn(now, f.knowsTargets()) {
+		f.options.Log.Info("store back after an outage", "away_s", away.Seconds(), "targets_read_in_s", f.restoreDelay(now).Seconds())
+	}
+}
+
+// untilTargets is how long the targets should not be read; the lock is held.
+// While the configuration can't be read either, they are not asked for.
+func (f *Follower) untilTargets(now time.Time) time.Duration {
+	if left := f.fresh.UntilRestored(now, f.restoreDelay(now)); left > 0 {
+		return left
+	}
+	if f.fresh.Config().Failing() {
+		return maxLook
+	}
+	return 0
+}
+
+// restoreDelay is how long after the store's return this gateway reads the
+// targets; the lock is held.
+func (f *Follower) restoreDelay(now time.Time) time.Duration {
+	return reader.RestoreDelay(f.rank(now), f.options.Timing.Restore)
+}
--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -12,33 +12,35 @@
 // whose path is cut waits in silence.
 func (f *Follower) Ping(ctx context.Context) error {
 	for pause.For(ctx, f.options.Timing.Ping) {
-		at := f.options.Clock()
-		if !f.relied(at) {
+		began := f.options.Clock()
+		if !f.isRelied(began) {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, f.options.Timing.SilentAfter)
-		err := f.options.Source.Ping(callCtx)
+		pingCtx, cancel := context.WithTimeout(ctx, f.options.Timing.SilentAfter)
+		err := f.options.Source.Ping(pingCtx)
 		cancel()
-		f.pinged(at, err)
+		f.pinged(began, err)
 	}
 	return nil
 }
 
-// relied says whether this gateway's watches are in order and others ask for
+// isRelied says whether this gateway's watches are in order and others ask for
 // what they tell.
-func (f *Follower) relied(now time.Time) bool {
+func (f *Follower) isRelied(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.readsItself(now) && f.isAsked(now)
+	return f.fresh.Reads(now) && f.isAsked(now)
 }
 
-// isAsked says whether other gateways ask this one for news; the lock is held.
+// isAsked says whether other gateways ask this one for updates; the lock is held.
 func (f *Follower) isAsked(now time.Time) bool {
 	timing := f.options.Timing
 	return !f.asked.IsZero() && now.Sub(f.asked) < timing.Poll+timing.PollSlack
 }
 
-func (f *Follower) pinged(at time.Time, err error) {
+// pinged works in how a ping that began at a moment ended. One that failed is
+// counted and no more: the watches find out whether the store is lost.
+func (f *Follower) pinged(began time.Time, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
@@ -46,7 +48,5 @@
 		return
 	}
 	f.options.Metrics.StoreCall(callPing, callAnswered)
-	f.config.pinged(at, f.options.Timing)
-	f.targets.pinged(at, f.options.Timing)
-	f.confirm(earlier(f.config.confirmed, f.targets.confirmed), f.options.Self.ID)
+	f.wakeIfOld(f.fresh.Pinged(began, f.options.Self.ID))
 }
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -7,17 +7,17 @@
 )
 
 // methods are what other gateways may call.
-type methods struct{ feed *Follower }
+type methods struct{ follower *Follower }
 
 // News answers once the caller lacks something or its wait is over.
-func (m *methods) News(args NewsArgs, reply *NewsReply) error {
-	return m.feed.answer(args, reply)
+func (m *methods) News(args UpdateArgs, reply *UpdateReply) error {
+	return m.follower.answer(args, reply)
 }
 
-// Serve takes questions of other gateways until the listener is closed.
+// Serve answers other gateways until the listener is closed.
 func (f *Follower) Serve(l net.Listener) error {
 	server := rpc.NewServer()
-	if err := server.RegisterName(serviceName, &methods{feed: f}); err != nil {
+	if err := server.RegisterName(serviceName, &methods{follower: f}); err != nil {
 		return err
 	}
 	for {
@@ -29,19 +29,16 @@
 	}
 }
 
-func (f *Follower) answer(args NewsArgs, reply *NewsReply) error {
-	f.mu.Lock()
-	now := f.options.Clock()
-	f.asked = now
-	f.meet(now, args.Members)
-	f.mu.Unlock()
+func (f *Follower) answer(args UpdateArgs, reply *UpdateReply) error {
+	f.noteAsked(args)
 	f.await(args)
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	now := f.options.Clock()
 	if args.Members != nil || f.members.Self().Leaving {
-		reply.Members = f.sightings(f.options.Clock())
+		reply.Members = f.sightings(now)
 	}
-	reply.Age, reply.Origin = f.age(f.options.Clock()), f.origin
+	reply.Age, reply.Origin = f.fresh.Age(now), f.fresh.Origin()
 	reply.Delta = f.catalog.Since(args.At)
 	if reply.Delta.Config == nil {
 		return nil
@@ -51,9 +48,18 @@
 	return err
 }
 
-// await waits while the caller lacks nothing and this gateway's news are fresh,
-// or about to be.
-func (f *Follower) await(args NewsArgs) {
+// noteAsked notes that another gateway asks, and whom it has heard of.
+func (f *Follower) noteAsked(args UpdateArgs) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := f.options.Clock()
+	f.asked = now
+	f.meet(now, args.Members)
+}
+
+// await waits while the caller lacks nothing and this gateway's knowledge is
+// fresh, or about to be.
+func (f *Follower) await(args UpdateArgs) {
 	asked := f.options.Clock()
 	timer := time.NewTimer(args.Wait)
 	defer timer.Stop()
@@ -72,16 +78,16 @@
 	}
 }
 
-// hasAnswer says whether there is something to tell now: news, a word that
-// confirms the caller's old ones, or that this gateway is of no use to it; the
-// lock is held.
-func (f *Follower) hasAnswer(args NewsArgs, asked time.Time) bool {
+// hasAnswer says whether there is something to tell now: an update, a word that
+// confirms the caller's old knowledge, or that this gateway is of no use to it;
+// the lock is held.
+func (f *Follower) hasAnswer(args UpdateArgs, asked time.Time) bool {
 	now := f.options.Clock()
 	at := f.catalog.Position()
 	ahead := at.Config > args.At.Config || at.Targets > args.At.Targets
 	theirs := args.Age + now.Sub(asked)
-	confirms := theirs > f.options.Timing.SilentAfter/2 && f.age(now) < theirs/2
-	reading := f.reads && !f.config.broken && !f.targets.broken
-	dull := !f.live(now) && !reading
-	return ahead || confirms || dull || f.members.Self().Leaving
+	confirms := theirs > f.options.Timing.SilentAfter/2 && f.fresh.Age(now) < theirs/2
+	aboutToRead := f.reads && !f.fresh.Failing()
+	useless := !f.fresh.Fresh(now) && !aboutToRead
+	return ahead || confirms || useless || f.members.Self().Leaving
 }
--- a/internal/gateway/discovery/serve_test.go
+++ b/internal/gateway/discovery/serve_test.go
@@ -15,7 +15,7 @@
 	f := New(Options{Self: member.Box{ID: "self"}, Clock: func() time.Time { return now }, Timing: Timing{SilentAfter: time.Second}})
 	f.confirm(now, "reader")
 	asked := now
-	fresh := NewsArgs{At: f.catalog.Position(), Age: 100 * time.Millisecond}
+	fresh := UpdateArgs{At: f.catalog.Position(), Age: 100 * time.Millisecond}
 	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "the caller's news are as good")
 	now = now.Add(700 * time.Millisecond)
 	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "both have grown old")
@@ -27,6 +27,6 @@
 	g.Expect(f.hasAnswer(fresh, asked)).To(BeTrue(), "of no use: the caller should look elsewhere")
 	f.reads = true
 	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "its own reading is about to confirm")
-	f.config.broken = true
+	f.fresh.Config().SetFailing(true)
 	g.Expect(f.hasAnswer(fresh, asked)).To(BeTrue(), "it is not")
 }
--- /dev/null
+++ b/internal/gateway/discovery/source.go
@@ -0,0 +1,44 @@
+package discovery
+
+import (
+	"context"
+	"time"
+
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
+)
+
+// ConfigObject is the configuration as the store holds it.
+type ConfigObject struct {
+	Version uint64
+	Body    []byte
+}
+
+// TargetList is all targets at a revision of the store.
+type TargetList struct {
+	Revision uint64
+	Targets  []catalog.Target
+}
+
+// TargetChanges is what happened to targets up to a revision.
+type TargetChanges struct {
+	Revision uint64
+	Changes  []catalog.Change
+}
+
+// ConfigChanges is what happened to the configuration up to a revision.
+type ConfigChanges struct {
+	Revision uint64
+	// Latest is nil when nothing changed, or when there is none yet.
+	Latest *ConfigObject
+}
+
+// Source reads the store. A watch that asks for a forgotten history fails with
+// store.ErrGone.
+type Source struct {
+	Config       func(ctx context.Context) (ConfigChanges, error)
+	WatchConfig  func(ctx context.Context, from uint64, wait time.Duration) (ConfigChanges, error)
+	Targets      func(ctx context.Context) (TargetList, error)
+	WatchTargets func(ctx context.Context, from uint64, wait time.Duration) (TargetChanges, error)
+	// Ping shows that the store can be reached, by the cheapest call there is.
+	Ping func(ctx context.Context) error
+}
