--- a/cmd/sprucecrank-gateway/main.go
+++ b/cmd/sprucecrank-gateway/main.go
@@ -40,7 +40,7 @@
 	level := new(slog.LevelVar)
 	log := slog.New(slog.NewJSONHandler(logs, &slog.HandlerOptions{Level: level}))
 	apply(settings, level)
-	client := platform.NewClient(settings.Store)
+	client := platform.NewClient(settings.Store, log)
 	g, err := gateway.New(settings, gateway.Options{
 		Source: client.Source(), Decode: platform.DecodeConfig, Wire: platform.Wire(),
 		Log: log, LogDropped: logs.Dropped,
