--- a/box/box.go
+++ b/box/box.go
@@ -31,7 +31,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
 	"github.com/sprucecrank/sprucecrank/internal/box/oncerun"
 	"github.com/sprucecrank/sprucecrank/internal/box/probe"
-	"github.com/sprucecrank/sprucecrank/internal/telemetry"
+	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
 	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/store"
 )
--- /dev/null
+++ b/gateway/run.go
@@ -0,0 +1,151 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/gravitational/trace"
+	"github.com/oklog/run"
+
+	"github.com/sprucecrank/sprucecrank/internal/lifecycle"
+	"github.com/sprucecrank/sprucecrank/internal/pause"
+)
+
+const (
+	// retainEvery is how often resting connections are looked through. Chosen.
+	retainEvery = time.Second
+	// maxHeaderBytes bounds the head of a client's request. Chosen.
+	maxHeaderBytes = 1 << 20
+	// clientIdle is how long a client's connection may rest. Chosen: longer than
+	// the users' clients rest theirs.
+	clientIdle = 5 * time.Minute
+)
+
+// Shares of the time for a stop (stop_within_s).
+const (
+	// acceptShare is the share in which clients that have not yet heard of the
+	// stop are still served. Chosen: the users' platform notices within seconds.
+	acceptShare = 0.5
+	// endShare is the share after which the process ends, whatever goes on, since
+	// it is killed at the end. Chosen after a process was still there at the kill
+	// (docs/INCIDENTS.md).
+	endShare = 0.9
+)
+
+// Run serves until ctx ends. Then the gateway is drained: it calls itself not
+// ready, goes on serving while clients still come, ends its requests and stops.
+func (g *Gateway) Run(ctx context.Context) error {
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	duties, endDuties := context.WithCancel(context.WithoutCancel(ctx))
+	defer endDuties()
+	var group run.Group
+	g.addDuties(duties, &group, endDuties)
+	g.addServers(&group)
+	g.addClients(ctx, &group, stop)
+	g.log.Info("started", "listen", g.listeners.clients.Addr().String(), "hall", g.settings.Load().Hall)
+	err := group.Run()
+	g.pool.Close()
+	if errors.Is(err, lifecycle.ErrStopped) {
+		g.log.Info("stopped")
+		return nil
+	}
+	return trace.Wrap(err)
+}
+
+// addDuties adds what works in the background until the group ends.
+func (g *Gateway) addDuties(ctx context.Context, group *run.Group, end func()) {
+	for _, duty := range []lifecycle.Duty{
+		g.discovery.Follow, g.discovery.ReadConfig, g.discovery.ReadTargets, g.discovery.Ping,
+		pause.Every(retainEvery, g.retain),
+	} {
+		group.Add(func() error { return lifecycle.UntilEnded(ctx, duty) }, func(error) { end() })
+	}
+}
+
+// addServers adds what answers other gateways, the platform and the operators.
+// The errors of closing say nothing: the group has ended then.
+func (g *Gateway) addServers(group *run.Group) {
+	peers := g.listeners.peers
+	group.Add(func() error { return g.discovery.Serve(peers) }, func(error) { _ = peers.Close() })
+	addServer(group, &http.Server{Handler: http.HandlerFunc(g.serveReady)}, g.listeners.ready)
+	if g.listeners.metrics != nil {
+		addServer(group, &http.Server{Handler: g.metrics.Handler()}, g.listeners.metrics)
+	}
+}
+
+func addServer(group *run.Group, server *http.Server, listener net.Listener) {
+	group.Add(func() error { return server.Serve(listener) }, func(error) { _ = server.Close() })
+}
+
+// addClients adds what serves clients, and what drains the gateway when ctx ends.
+func (g *Gateway) addClients(ctx context.Context, group *run.Group, stop func()) {
+	clients := &http.Server{
+		Handler:        g.forward,
+		IdleTimeout:    clientIdle,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       slog.NewLogLogger(g.log.Handler(), slog.LevelDebug),
+	}
+	drained := make(chan struct{})
+	group.Add(func() error {
+		return lifecycle.ServeUntil(clients, g.listeners.clients, drained)
+	}, func(error) { _ = clients.Close() })
+	group.Add(func() error {
+		defer close(drained)
+		<-ctx.Done()
+		return g.drain(ctx, clients)
+	}, func(error) { stop() })
+}
+
+// drain stops the gateway as planned.
+func (g *Gateway) drain(ctx context.Context, clients *http.Server) error {
+	within := seconds(g.settings.Load().StopWithin)
+	g.log.Info("stopping", "within_s", within.Seconds(), "active", g.forward.Active())
+	g.stopping.Store(true)
+	g.discovery.SetLeaving()
+	time.Sleep(time.Duration(acceptShare * float64(within)))
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration((endShare-acceptShare)*float64(within)))
+	defer cancel()
+	if err := clients.Shutdown(ctx); err != nil {
+		g.metrics.Cut(g.forward.Active())
+		g.log.Error("requests were still in flight when the time for stopping ran out", "active", g.forward.Active(), "error", err.Error())
+	}
+	return lifecycle.ErrStopped
+}
+
+func (g *Gateway) serveReady(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != g.options.Wire.ReadyPath {
+		http.NotFound(w, r)
+		return
+	}
+	if !g.isReady() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+func (g *Gateway) isReady() bool {
+	if g.stopping.Load() {
+		return false
+	}
+	select {
+	case <-g.discovery.Ready():
+		return true
+	default:
+		return false
+	}
+}
+
+// retain closes connections to targets that are gone or that rest too long.
+func (g *Gateway) retain(context.Context) {
+	known := map[string]bool{}
+	for _, targets := range g.discovery.Snapshot().ByService() {
+		for _, t := range targets {
+			known[t.ID] = true
+		}
+	}
+	g.pool.Retain(func(id string) bool { return known[id] })
+}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -6,8 +6,6 @@
 	"log/slog"
 	"net"
 	"time"
-
-	"github.com/sprucecrank/sprucecrank/internal/headers"
 )
 
 // Settings are what a gateway is told at its start and at each reload.
@@ -133,10 +131,3 @@
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// Wire says how the gateway's surroundings spell what it speaks.
-type Wire struct {
-	Headers headers.Names
-	// ReadyPath is the path of the question whether clients may come.
-	ReadyPath string
-}
--- a/internal/box/entry/handler.go
+++ b/internal/box/entry/handler.go
@@ -25,7 +25,7 @@
 
 	"github.com/sprucecrank/sprucecrank/internal/box/grant"
 	"github.com/sprucecrank/sprucecrank/internal/box/oncerun"
-	"github.com/sprucecrank/sprucecrank/internal/telemetry"
+	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
 	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
--- a/internal/box/entry/send.go
+++ b/internal/box/entry/send.go
@@ -16,7 +16,7 @@
 
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
-	"github.com/sprucecrank/sprucecrank/internal/telemetry"
+	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
 	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
--- a/internal/box/probe/probe.go
+++ b/internal/box/probe/probe.go
@@ -23,8 +23,8 @@
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/internal/box/entry"
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
+	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/internal/telemetry"
 	"github.com/sprucecrank/sprucecrank/policy"
 )
 
--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -41,7 +41,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
 	"github.com/sprucecrank/sprucecrank/core/gateway/snapshot"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/internal/telemetry"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/metrics"
 )
 
 // Timing holds the times of a Follower; gateway.timing derives them from the
@@ -92,7 +92,7 @@
 	Timing Timing
 	Clock  func() time.Time
 	// Metrics may be nil.
-	Metrics *telemetry.Gateway
+	Metrics *metrics.Metrics
 	Log     *slog.Logger
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -28,9 +28,9 @@
 	"time"
 
 	"github.com/sprucecrank/sprucecrank/core/gateway/snapshot"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/metrics"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/headers"
-	"github.com/sprucecrank/sprucecrank/internal/telemetry"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
@@ -60,7 +60,7 @@
 	Pool     *upstream.Pool
 	Retry    Retry
 	// Metrics may be nil.
-	Metrics *telemetry.Gateway
+	Metrics *metrics.Metrics
 	Clock   func() time.Time
 	Log     *slog.Logger
 	// Draw gives a uniform number in [0, 1).
--- a/internal/telemetry/gateway.go
+++ b/internal/gateway/metrics/metrics.go
@@ -1,4 +1,16 @@
-package telemetry
+// Package metrics holds the instruments of a gateway, by OpenTelemetry, and serves
+// them in Prometheus form. docs/OPERATING.md lists them with what to do when one
+// stands out.
+//
+// It owns the names, which are part of the operators' interface. A nil Metrics
+// records nothing.
+//
+// # Usage
+//
+//	m, err := metrics.New(state)
+//	m.Request("shop", 200, "", took)
+//	http.Serve(listener, m.Handler())
+package metrics
 
 import (
 	"context"
@@ -11,10 +23,12 @@
 	otelprom "go.opentelemetry.io/otel/exporters/prometheus"
 	"go.opentelemetry.io/otel/metric"
 	sdkmetric "go.opentelemetry.io/otel/sdk/metric"
+
+	"github.com/sprucecrank/sprucecrank/internal/telemetry"
 )
 
-// Gateway holds the instruments of a gateway. A nil Gateway records nothing.
-type Gateway struct {
+// Metrics holds the instruments of a gateway. A nil Metrics records nothing.
+type Metrics struct {
 	registry   *prometheus.Registry
 	requests   metric.Int64Counter
 	duration   metric.Float64Histogram
@@ -40,36 +54,36 @@
 	LogDropped uint64
 }
 
-// NewGateway sets up a gateway's metrics; state is read at each scrape.
-func NewGateway(state func() State) (*Gateway, error) {
+// New sets up a gateway's metrics; state is read at each scrape.
+func New(state func() State) (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo(), otelprom.WithoutTargetInfo())
 	if err != nil {
 		return nil, err
 	}
-	meter := sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter)).Meter(scope)
-	t := &Gateway{registry: registry}
-	if err := t.makeCounters(meter); err != nil {
+	meter := sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter)).Meter(telemetry.Scope)
+	m := &Metrics{registry: registry}
+	if err := m.makeCounters(meter); err != nil {
 		return nil, err
 	}
-	return t, observe(meter, state)
+	return m, observe(meter, state)
 }
 
-func (t *Gateway) makeCounters(meter metric.Meter) error {
+func (m *Metrics) makeCounters(meter metric.Meter) error {
 	for _, c := range []struct {
 		set  *metric.Int64Counter
 		name string
 		help string
 	}{
-		{&t.requests, "sprucecrank.gateway.requests", "Requests answered, by service and status."},
-		{&t.refusals, "sprucecrank.gateway.refusals", "Requests that the gateway itself ended, by service and reason."},
-		{&t.waits, "sprucecrank.gateway.waits", "Rounds in which a request found no target to go to, by service."},
-		{&t.sends, "sprucecrank.gateway.sends", "Sends to targets, by service, result and whether it was the first of its request."},
-		{&t.checks, "sprucecrank.gateway.checks", "Health checks, by service and result."},
-		{&t.opened, "sprucecrank.gateway.connections.opened", "New connections to targets."},
-		{&t.storeCalls, "sprucecrank.gateway.store.calls", "Calls to the store, by watch and result."},
-		{&t.peersLost, "sprucecrank.gateway.peers.lost", "Gateways that did not answer."},
-		{&t.cut, "sprucecrank.gateway.requests.cut", "Requests that were still under way when the time for a stop ran out."},
+		{&m.requests, "sprucecrank.gateway.requests", "Requests answered, by service and status."},
+		{&m.refusals, "sprucecrank.gateway.refusals", "Requests that the gateway itself ended, by service and reason."},
+		{&m.waits, "sprucecrank.gateway.waits", "Rounds in which a request found no target to go to, by service."},
+		{&m.sends, "sprucecrank.gateway.sends", "Sends to targets, by service, result and whether it was the first of its request."},
+		{&m.checks, "sprucecrank.gateway.checks", "Health checks, by service and result."},
+		{&m.opened, "sprucecrank.gateway.connections.opened", "New connections to targets."},
+		{&m.storeCalls, "sprucecrank.gateway.store.calls", "Calls to the store, by watch and result."},
+		{&m.peersLost, "sprucecrank.gateway.peers.lost", "Gateways that did not answer."},
+		{&m.cut, "sprucecrank.gateway.requests.cut", "Requests that were still under way when the time for a stop ran out."},
 	} {
 		counter, err := meter.Int64Counter(c.name, metric.WithDescription(c.help))
 		if err != nil {
@@ -78,7 +92,7 @@
 		*c.set = counter
 	}
 	var err error
-	t.duration, err = meter.Float64Histogram("sprucecrank.gateway.request.duration", metric.WithUnit("s"), buckets,
+	m.duration, err = meter.Float64Histogram("sprucecrank.gateway.request.duration", metric.WithUnit("s"), telemetry.DurationBuckets(),
 		metric.WithDescription("Time from a request's head to the end of its answer, by service."))
 	return err
 }
@@ -112,8 +126,8 @@
 }
 
 // Handler serves the metrics in Prometheus form.
-func (t *Gateway) Handler() http.Handler {
-	return promhttp.HandlerFor(t.registry, promhttp.HandlerOpts{})
+func (m *Metrics) Handler() http.Handler {
+	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
 func add(counter metric.Int64Counter, attributes ...attribute.KeyValue) {
@@ -121,62 +135,62 @@
 }
 
 // Request counts an answered request; reason is empty for a target's answer.
-func (t *Gateway) Request(service string, status int, reason string, took time.Duration) {
-	if t == nil {
+func (m *Metrics) Request(service string, status int, reason string, took time.Duration) {
+	if m == nil {
 		return
 	}
-	add(t.requests, attribute.String("service", service), attribute.Int("status", status))
-	t.duration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("service", service)))
+	add(m.requests, attribute.String("service", service), attribute.Int("status", status))
+	m.duration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("service", service)))
 	if reason != "" {
-		add(t.refusals, attribute.String("service", service), attribute.String("reason", reason))
+		add(m.refusals, attribute.String("service", service), attribute.String("reason", reason))
 	}
 }
 
 // Wait counts a round in which a request found no target.
-func (t *Gateway) Wait(service string) {
-	if t != nil {
-		add(t.waits, attribute.String("service", service))
+func (m *Metrics) Wait(service string) {
+	if m != nil {
+		add(m.waits, attribute.String("service", service))
 	}
 }
 
 // Send counts a send; first says whether it was the first of its request.
-func (t *Gateway) Send(service, result string, first bool) {
-	if t != nil {
-		add(t.sends, attribute.String("service", service), attribute.String("result", result), attribute.Bool("first", first))
+func (m *Metrics) Send(service, result string, first bool) {
+	if m != nil {
+		add(m.sends, attribute.String("service", service), attribute.String("result", result), attribute.Bool("first", first))
 	}
 }
 
 // Check counts a health check.
-func (t *Gateway) Check(service, result string) {
-	if t != nil {
-		add(t.checks, attribute.String("service", service), attribute.String("result", result))
+func (m *Metrics) Check(service, result string) {
+	if m != nil {
+		add(m.checks, attribute.String("service", service), attribute.String("result", result))
 	}
 }
 
 // Opened counts a new connection to a target.
-func (t *Gateway) Opened() {
-	if t != nil {
-		add(t.opened)
+func (m *Metrics) Opened() {
+	if m != nil {
+		add(m.opened)
 	}
 }
 
 // StoreCall counts a call to the store.
-func (t *Gateway) StoreCall(watch, result string) {
-	if t != nil {
-		add(t.storeCalls, attribute.String("watch", watch), attribute.String("result", result))
+func (m *Metrics) StoreCall(watch, result string) {
+	if m != nil {
+		add(m.storeCalls, attribute.String("watch", watch), attribute.String("result", result))
 	}
 }
 
 // PeerLost counts a gateway that did not answer.
-func (t *Gateway) PeerLost() {
-	if t != nil {
-		add(t.peersLost)
+func (m *Metrics) PeerLost() {
+	if m != nil {
+		add(m.peersLost)
 	}
 }
 
 // Cut counts requests that a stop cut off.
-func (t *Gateway) Cut(n int64) {
-	if t != nil {
-		t.cut.Add(context.Background(), n)
+func (m *Metrics) Cut(n int64) {
+	if m != nil {
+		m.cut.Add(context.Background(), n)
 	}
 }
