--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -495,6 +495,22 @@
 	g.Expect(s.runs.Load()).To(BeZero())
 }
 
+// Known red: of the limits on clients only that on bodies is kept to.
+func TestAHeadBeyondTheLimitsIsRefused(t *testing.T) {
+	g := NewWithT(t)
+	s := newStandin(t, "s1", "shop", "a", ok)
+	f := newFixture(t, s)
+	table := routing.New(routing.Config{Version: 8, Limits: routing.Limits{HeaderBytes: 1 << 10}, Routes: []routing.Route{{
+		Name: readPath, Host: "shop.example", Prefix: readPath, Mode: policy.Repeatable, MaxAttempts: 1,
+		Objective: objective, Timeout: timeout, Shares: []routing.Share{{Service: "shop", Weight: 1}},
+	}}, Services: []routing.Service{{Name: "shop", HealthPath: "/health"}}})
+	f.view = snapshot.New(table, f.view.ByService())
+	f.start()
+	got := f.send(t.Context(), http.MethodGet, readPath, "X-Long", strings.Repeat("a", 4<<10))
+	g.Expect(got.status).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
+	g.Expect(s.runs.Load()).To(BeZero())
+}
+
 func TestHealthAnswersThatAreFalseForAllTargetsKeepNobodyOut(t *testing.T) {
 	for name, health := range map[string]http.HandlerFunc{
 		"ill":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
