--- a/core/gateway/estimate/estimate.go
+++ b/core/gateway/estimate/estimate.go
@@ -38,7 +38,7 @@
 	bytesStep = 0.1
 	// idleStep is how far one probe moves the share of idle targets, and
 	// mostlyIdleShare the share above which one target at a time is probed.
-	// Probing so was measured: docs/DESIGN.md, "one at a time where most are easy".
+	// Probing so was measured: docs/DESIGN.md, "one at a time where most are idle".
 	idleStep        = 0.05
 	mostlyIdleShare = 0.5
 	// silentProbes is how many probes in a row without a load report show that a
--- a/core/gateway/placement/probe.go
+++ b/core/gateway/placement/probe.go
@@ -11,7 +11,7 @@
 	// parallelProbes is how many targets are probed at once, as long as none of
 	// those before is idle, and parallelWhenIdle how many where most targets are
 	// idle. Measured: docs/DESIGN.md, "two at a time" and "one at a time where
-	// most are easy".
+	// most are idle".
 	parallelProbes   = 2
 	parallelWhenIdle = 1
 	// localProbes and remoteProbes bound the targets probed in one round, and
--- a/e2e/gateway/soak_test.go
+++ b/e2e/gateway/soak_test.go
@@ -419,7 +419,7 @@
 	fail := func(id, format string, args ...any) {
 		w.t.Errorf(format, args...)
 		if told++; told <= 3 {
-			w.t.Log(w.story(id))
+			w.t.Log(w.timeline(id))
 		}
 	}
 	for id := range w.records.arrivals {
@@ -466,8 +466,8 @@
 	w.t.Logf("%d requests, second sends %v, %d lives of gateways, version %d", len(w.records.outcomes), second, w.lives.Load(), w.version.Load())
 }
 
-// story tells what the gateways' logs say of a request.
-func (w *world) story(id string) string {
+// timeline tells what the gateways' logs say of a request.
+func (w *world) timeline(id string) string {
 	var all []byte
 	for _, g := range w.gateways {
 		raw, _ := os.ReadFile(g.log)
--- a/internal/boundaries/boundaries_test.go
+++ b/internal/boundaries/boundaries_test.go
@@ -97,6 +97,37 @@
 	}
 }
 
+// What is one daemon's alone is not used by the other; the layout in docs/DEVELOPING.md
+// says whose a folder is.
+func TestEachDaemonKeepsToItsOwnFolders(t *testing.T) {
+	g := NewWithT(t)
+	owned := map[string][]string{
+		"gateway": {"gateway/", "core/gateway/", "internal/gateway/", "platform/"},
+		"box":     {"box/", "core/box/", "internal/box/"},
+	}
+	owner := func(path string) string {
+		for daemon, folders := range owned {
+			if slices.ContainsFunc(folders, func(folder string) bool { return strings.HasPrefix(path+"/", folder) }) {
+				return daemon
+			}
+		}
+		return ""
+	}
+	shared := []string{"core/member/", "verdict/", "policy/", "store/", "internal/headers/", "internal/lifecycle/", "internal/pause/", "internal/telemetry/"}
+	for _, s := range sources(t) {
+		mine := owner(filepath.ToSlash(filepath.Dir(s.path)))
+		common := slices.ContainsFunc(shared, func(folder string) bool { return strings.HasPrefix(s.path, folder) })
+		for _, name := range s.imports {
+			theirs := owner(strings.TrimPrefix(name, module+"/"))
+			if !strings.HasPrefix(name, module) || theirs == "" {
+				continue
+			}
+			g.Expect(mine != "" && mine != theirs).To(BeFalse(), "%s of the %s imports %s", s.path, mine, name)
+			g.Expect(common).To(BeFalse(), "%s is used by both and imports %s", s.path, name)
+		}
+	}
+}
+
 func TestOnlyProgramsImportTheAdapter(t *testing.T) {
 	g := NewWithT(t)
 	for _, s := range sources(t) {
--- a/internal/cli/explaincmd/explaincmd.go
+++ b/internal/cli/explaincmd/explaincmd.go
@@ -94,7 +94,7 @@
 func printFailed(o *options, logs *timeline.Logs) error {
 	ids := logs.NotServed()
 	if o.json {
-		stories := make([]timeline.Story, 0, len(ids))
+		stories := make([]timeline.Timeline, 0, len(ids))
 		for _, id := range ids {
 			told, _ := logs.Of(id)
 			stories = append(stories, told)
@@ -111,7 +111,7 @@
 	return cmdutil.Table(o.factory.IO, []string{"REQUEST", "STATUS", "CAUSE"}, rows)
 }
 
-func print(o *options, told timeline.Story) error {
+func print(o *options, told timeline.Timeline) error {
 	table := tabwriter.NewWriter(o.factory.IO.Out, 0, 0, 2, ' ', 0)
 	for i, line := range told.Lines {
 		began := line.Time.Add(-time.Duration(line.HeldMS * float64(time.Millisecond)))
--- a/internal/cli/timeline/timeline.go
+++ b/internal/cli/timeline/timeline.go
@@ -1,10 +1,14 @@
-// Package timeline reads the logs of many gateways and tells what became of one
-// request. Lines that are not whole are counted and left out.
+// Package timeline reads the logs of many gateways and puts together what became
+// of one request, in the order of time, with the cause of its end in words. Lines
+// that are not whole are counted and left out.
+//
+// It relies on the log lines of internal/gateway/forward (Send, and the messages
+// "served" and "not served"), whose fields docs/OPERATIONS.md lists.
 //
 // # Usage
 //
-//	logs, err := story.Read(reader)
-//	told, ok := logs.Of("9c41d07be2a35f68")
+//	logs, err := timeline.Read(reader)
+//	line, ok := logs.Of("9c41d07be2a35f68")
 package timeline
 
 import (
@@ -22,8 +26,8 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-// mostLine bounds one line of a log, in bytes.
-const mostLine = 1 << 20
+// maxLine bounds one line of a log, in bytes.
+const maxLine = 1 << 20
 
 // Line is one line of a gateway's log about a request.
 type Line struct {
@@ -61,7 +65,7 @@
 func Read(r io.Reader) (*Logs, error) {
 	logs := &Logs{byRequest: map[string][]Line{}}
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), mostLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
 	for scanner.Scan() {
 		brace := bytes.IndexByte(scanner.Bytes(), '{')
 		if brace < 0 {
@@ -79,8 +83,8 @@
 	return logs, scanner.Err()
 }
 
-// Story is what became of one request.
-type Story struct {
+// Timeline is what became of one request.
+type Timeline struct {
 	Request string `json:"request"`
 	// Lines are in the order of their times.
 	Lines []Line `json:"lines"`
@@ -88,15 +92,15 @@
 	Causes []string `json:"causes"`
 }
 
-// Of tells of one request; false when no log names it.
-func (l *Logs) Of(request string) (Story, bool) {
+// Of is the timeline of one request; false when no log names it.
+func (l *Logs) Of(request string) (Timeline, bool) {
 	lines, ok := l.byRequest[request]
 	if !ok {
-		return Story{}, false
+		return Timeline{}, false
 	}
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	s := Story{Request: request, Lines: lines}
+	s := Timeline{Request: request, Lines: lines}
 	for _, line := range lines {
 		s.Causes = append(s.Causes, line.Cause())
 	}
@@ -128,7 +132,8 @@
 	return l.Message == forward.MessageNotServed || l.Status >= 500
 }
 
-// slow is the slowness from which a target counts as slow.
+// slow is the slowness from which the cause of a late answer is put down to the
+// target. Chosen.
 const slow = 2
 
 // Cause says in words what the end of the request was due to.
--- a/internal/gateway/logging/logging.go
+++ b/internal/gateway/logging/logging.go
@@ -3,6 +3,10 @@
 // bounds how many are written. Lines that find no room are counted, and a line
 // says how many were dropped.
 //
+// It owns the lines that wait and the count of those dropped. It relies on its
+// output only to take lines now and then: one that blocks costs lines and nothing
+// else.
+//
 // # Usage
 //
 //	w := logging.NewWriter(os.Stdout, logging.Options{})
@@ -33,11 +37,16 @@
 }
 
 const (
-	defaultLines     = 2048
+	// defaultLines is how many lines may wait: some seconds of the rate.
+	defaultLines = 2048
+	// defaultPerSecond and defaultBurst bound the volume under overload. A usual
+	// day stays below; what lines cost: docs/DESIGN.md, "Costs".
 	defaultPerSecond = 300
 	defaultBurst     = 1000
-	defaultFlush     = 200 * time.Millisecond
-	closeWithin      = 500 * time.Millisecond
+	// defaultFlush gathers lines for one write. Chosen.
+	defaultFlush = 200 * time.Millisecond
+	// closeTimeout bounds the last write of a process that stops. Chosen.
+	closeTimeout = 500 * time.Millisecond
 )
 
 // Writer takes whole lines and never blocks. It implements io.Writer.
@@ -103,11 +112,11 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	var told uint64
+	var reported uint64
 	for {
 		select {
 		case <-w.closed:
-			w.flush(&told)
+			w.flush(&reported)
 			return
 		case <-w.wake:
 		}
@@ -115,21 +124,22 @@
 		case <-w.closed:
 		case <-time.After(w.options.FlushEvery):
 		}
-		w.flush(&told)
+		w.flush(&reported)
 	}
 }
 
 // flush writes what waits, and how many lines were dropped since the last time.
-func (w *Writer) flush(told *uint64) {
+func (w *Writer) flush(reported *uint64) {
 	w.mu.Lock()
 	lines := w.waiting
 	w.waiting = nil
 	w.mu.Unlock()
-	if dropped := w.dropped.Load(); dropped > *told {
-		lines = append(lines, fmt.Appendf(nil, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"dropped\":%d,\"total\":%d}\n", dropped-*told, dropped))
-		*told = dropped
+	if dropped := w.dropped.Load(); dropped > *reported {
+		lines = append(lines, fmt.Appendf(nil, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"dropped\":%d,\"total\":%d}\n", dropped-*reported, dropped))
+		*reported = dropped
 	}
 	if len(lines) > 0 {
+		// Lines that out does not take are lost, and there is nowhere to say so.
 		_, _ = w.out.Write(bytes.Join(lines, nil))
 	}
 }
@@ -139,6 +149,6 @@
 	w.once.Do(func() { close(w.closed) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWithin):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -1,5 +1,5 @@
 // Package metrics holds the instruments of a gateway, by OpenTelemetry, and serves
-// them in Prometheus form. docs/OPERATING.md lists them with what to do when one
+// them in Prometheus form. docs/OPERATIONS.md lists them with what to do when one
 // stands out.
 //
 // It owns the names, which are part of the operators' interface. A nil Metrics
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -15,12 +15,14 @@
 )
 
 const (
-	// writeAtOnce is the largest request that is written before its answer is
-	// looked for; a larger one is written beside it, since a target may answer
-	// before it has read a long body.
+	// writeAtOnce is the largest request, in bytes, that is written before its
+	// answer is looked for; a larger one is written beside it, since a target may
+	// answer before it has read a long body. Chosen: it fits any socket's buffer.
 	writeAtOnce = 2 << 10
-	// mostSurplus bounds the answers of other requests that are dropped.
-	mostSurplus = 4
+	// maxSurplus bounds the answers of other requests that are dropped. Chosen.
+	maxSurplus = 4
+	// headBytes is the room that is made for the head of a request.
+	headBytes = 512
 )
 
 // Request is one request as it goes to a target.
@@ -87,7 +89,7 @@
 // send writes the request and reports on the channel how far it came.
 func (c *Conn) send(r Request) <-chan written {
 	var b bytes.Buffer
-	b.Grow(512 + len(r.Body))
+	b.Grow(headBytes + len(r.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
 	_ = r.Header.Write(&b) // a buffer takes all
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
@@ -112,7 +114,7 @@
 // connection's framing allows another exchange.
 func (c *Conn) receive(r Request) (answer *Answer, again bool, err error) {
 	names := c.pool.options.Names
-	for range mostSurplus {
+	for range maxSurplus {
 		response, body, err := c.readOne(r.Method)
 		if err != nil {
 			return nil, false, err
@@ -181,7 +183,7 @@
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds > 0 {
-			c.idleLimit = time.Duration(idlePart * float64(seconds) * float64(time.Second))
+			c.idleLimit = time.Duration(idleShare * float64(seconds) * float64(time.Second))
 		}
 	}
 }
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -1,7 +1,12 @@
 // Package upstream holds the gateway's connections to targets and makes
 // exchanges on them. It never sends a request twice by itself: whoever calls
 // Exchange has made exactly one send, and the error's verdict says whether the
-// target may have run it.
+// target may have run it. Why it uses the parser of net/http and not its transport:
+// docs/DESIGN.md, "Why our own connections".
+//
+// It owns the resting connections. It relies on targets for framing and ids only as
+// far as it can check them; a connection on which anything is out of order is
+// closed and not used again.
 //
 // An answer is read whole before it is given out, and it is given out only if
 // it repeats the id of the request: a surplus answer of an earlier request is
@@ -30,12 +35,17 @@
 
 const (
 	// defaultIdle is how long a connection may rest where targets don't say.
+	// Chosen: shorter than servers usually keep one.
 	defaultIdle = 4 * time.Second
-	// idlePart is the part of a target's own idle time that is used.
-	idlePart       = 0.75
+	// idleShare is the share of a target's own idle time that is used, so that a
+	// request is not sent into a connection that is being closed. Chosen.
+	idleShare = 0.75
+	// readBufferSize is that of each connection, in bytes: a head fits.
 	readBufferSize = 4 << 10
-	// DefaultAnswerBytes is the largest answer that is taken in.
-	DefaultAnswerBytes = 8 << 20
+	// maxAnswerBytes bounds an answer, since it is held in memory whole. Chosen.
+	maxAnswerBytes = 8 << 20
+	// dialTimeout bounds the making of a connection. Chosen: one takes about 1 ms.
+	dialTimeout = time.Second
 )
 
 // Dial opens a connection.
@@ -46,9 +56,7 @@
 	Names headers.Names
 	Clock func() time.Time
 	Dial  Dial
-	// DialTimeout bounds the making of a connection.
-	DialTimeout time.Duration
-	// AnswerBytes bounds one answer.
+	// AnswerBytes bounds one answer; 0 means 8 MB.
 	AnswerBytes int64
 	// Opened is called for each new connection.
 	Opened func()
@@ -69,11 +77,8 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{}).DialContext
 	}
-	if o.DialTimeout == 0 {
-		o.DialTimeout = time.Second
-	}
 	if o.AnswerBytes == 0 {
-		o.AnswerBytes = DefaultAnswerBytes
+		o.AnswerBytes = maxAnswerBytes
 	}
 	if o.Opened == nil {
 		o.Opened = func() {}
@@ -124,7 +129,7 @@
 }
 
 func (p *Pool) open(ctx context.Context, target catalog.Target) (*Conn, *verdict.Error) {
-	ctx, cancel := context.WithTimeout(ctx, p.options.DialTimeout)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	raw, err := p.options.Dial(ctx, "tcp", target.Address)
 	if err != nil {
@@ -149,7 +154,7 @@
 	p.idle[c.target.ID] = append(p.idle[c.target.ID], c)
 }
 
-// Close ends the connection.
+// Close ends the connection. How that goes says nothing: it is not used again.
 func (c *Conn) Close() {
 	c.reusable = false
 	_ = c.net.Close()
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -1,6 +1,7 @@
 // Package headers names the HTTP headers that a gateway, its clients and the
 // targets exchange, so that one data path serves deployments that spell them
-// differently.
+// differently (Names), and removes those that must not be passed on, for both
+// daemons (RemoveHopByHop).
 //
 // # Usage
 //
@@ -22,7 +23,7 @@
 	Deadline string
 	// ExpectInstance names the only target that may run the request.
 	ExpectInstance string
-	// Instance is the id by which a target answers a health check.
+	// Instance is the id by which a target answers a health probe.
 	Instance string
 	// Load is a target's load: running, waiting, slots, percent of usual time.
 	Load string
--- a/policy/problems.go
+++ b/policy/problems.go
@@ -80,7 +80,7 @@
 		return Problem{Path: position(raw, syntaxErr.Offset), Found: syntaxErr.Error(), Allowed: "valid JSON"}
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-		return Problem{Path: strings.Trim(name, `"`), Found: "an unknown field", Allowed: "the fields in docs/OPERATING.md"}
+		return Problem{Path: strings.Trim(name, `"`), Found: "an unknown field", Allowed: "the fields in docs/OPERATIONS.md"}
 	}
 	return Problem{Path: position(raw, offset), Found: err.Error(), Allowed: "one JSON document"}
 }
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -48,7 +48,7 @@
 // Reason is the machine-readable cause of a refusal or failure.
 type Reason string
 
-// Reasons that clients and operators meet; docs/OPERATING.md says what to do about each.
+// Reasons that clients and operators meet; docs/OPERATIONS.md says what to do about each.
 const (
 	ReasonNoService       Reason = "no-service"
 	ReasonNoTarget        Reason = "no-target"
