--- a/core/gateway/routing/routing.go
+++ b/core/gateway/routing/routing.go
@@ -3,8 +3,7 @@
 // may be treated. A Table never changes once made.
 //
 // It owns the rule by which a route is found and a service is picked. It relies on
-// package policy for the modes of requests, does no I/O and draws no random
-// numbers. The fields of Config and of what it is made of are open, since the
+// nothing else, does no I/O and draws no random numbers. The fields of Config and of what it is made of are open, since the
 // adapter fills them in; a Table is read through methods.
 //
 // # Usage
@@ -18,8 +17,6 @@
 	"slices"
 	"strings"
 	"time"
-
-	"github.com/sprucecrank/sprucecrank/policy"
 )
 
 // Share is one part of a route's traffic.
@@ -37,8 +34,8 @@
 	Prefix string
 	// Shares are the services that take the requests.
 	Shares []Share
-	// Mode says whether a request may run more than once.
-	Mode policy.Mode
+	// Repeatable says whether a request may run more than once.
+	Repeatable bool
 	// Objective is the time within which an answer is worth most.
 	Objective time.Duration
 	// Timeout is the longest that a request may be held.
@@ -151,6 +148,3 @@
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
-
-// Repeatable says whether a request may run more than once.
-func (r *Route) Repeatable() bool { return r.Mode == policy.Repeatable }
--- a/core/gateway/routing/routing_test.go
+++ b/core/gateway/routing/routing_test.go
@@ -6,15 +6,14 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
-	"github.com/sprucecrank/sprucecrank/policy"
 )
 
 func table() *routing.Table {
 	share := func(service string) []routing.Share { return []routing.Share{{Service: service, Weight: 1}} }
 	return routing.New(routing.Config{Version: 7, Routes: []routing.Route{
 		{Name: "all", Host: "shop.example", Prefix: "/", Shares: share("front")},
-		{Name: "orders", Host: "shop.example", Prefix: "/orders/", Shares: share("orders"), Mode: policy.Single},
-		{Name: "old", Host: "shop.example", Prefix: "/orders/old/", Shares: share("archive"), Mode: policy.Repeatable},
+		{Name: "orders", Host: "shop.example", Prefix: "/orders/", Shares: share("orders")},
+		{Name: "old", Host: "shop.example", Prefix: "/orders/old/", Shares: share("archive"), Repeatable: true},
 		{Name: "other", Host: "farm.example", Prefix: "/orders/", Shares: share("farm")},
 	}, Services: []routing.Service{{Name: "front", HealthPath: "/health"}}})
 }
--- a/internal/cli/timeline/timeline_test.go
+++ b/internal/cli/timeline/timeline_test.go
@@ -22,7 +22,6 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/forward"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/headers"
-	"github.com/sprucecrank/sprucecrank/policy"
 )
 
 var names = headers.Defaults()
@@ -176,7 +175,7 @@
 	return routing.New(routing.Config{
 		Version: 7, Limits: routing.Limits{BodyBytes: 50},
 		Routes: []routing.Route{{
-			Name: "r", Host: "shop.example", Prefix: "/read/", Mode: policy.Single, MaxAttempts: 1,
+			Name: "r", Host: "shop.example", Prefix: "/read/", MaxAttempts: 1,
 			Objective: 2 * time.Second, Timeout: timeout, Shares: []routing.Share{{Service: "shop", Weight: 1}},
 		}},
 		Services: []routing.Service{{Name: "shop", HealthPath: "/health"}},
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -20,7 +20,6 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 	"github.com/sprucecrank/sprucecrank/internal/standin/faultproxy"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 const eventual = 15 * time.Second
@@ -123,7 +122,7 @@
 		}
 		if from < s.floor {
 			s.mu.Unlock()
-			return store.ErrGone
+			return discovery.ErrGone
 		}
 		if over || s.revision > from {
 			return nil
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -11,7 +11,6 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/freshness"
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 const (
@@ -71,7 +70,7 @@
 		}
 		before := f.position()
 		err := f.reach(ctx, w, whole)
-		whole = errors.Is(err, store.ErrGone)
+		whole = errors.Is(err, ErrGone)
 		pauseFor := time.Duration(0)
 		switch {
 		case err == nil:
@@ -137,7 +136,7 @@
 		f.noteReturn(now)
 		f.setFailing(w, nil)
 		f.wakeIfOld(f.fresh.Answered(w.state, now, f.options.Self.ID))
-	case errors.Is(err, store.ErrGone):
+	case errors.Is(err, ErrGone):
 		// The list that is asked for next tells whether the store is back.
 		f.options.Metrics.StoreCall(w.name, callAnswered)
 	case errors.Is(err, errRestoring):
--- a/internal/gateway/discovery/source.go
+++ b/internal/gateway/discovery/source.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
@@ -33,7 +34,7 @@
 }
 
 // Source reads the store. A watch that asks for a forgotten history fails with
-// store.ErrGone.
+// ErrGone.
 type Source struct {
 	Config       func(ctx context.Context) (ConfigChanges, error)
 	WatchConfig  func(ctx context.Context, from uint64, wait time.Duration) (ConfigChanges, error)
@@ -42,3 +43,15 @@
 	// Ping shows that the store can be reached, by the cheapest call there is.
 	Ping func(ctx context.Context) error
 }
+
+// Errors of a Source; whatever else it returns counts as ErrUnavailable does.
+var (
+	// ErrUnavailable says that the store could not be reached, turned the call away
+	// or gave no whole answer. The call may be made again.
+	ErrUnavailable = errors.New("the store is unavailable")
+	// ErrNotFound says that the store has no such kind of objects.
+	ErrNotFound = errors.New("the store has no such objects")
+	// ErrGone says that a watch asked for a history that is no longer kept: the
+	// whole list must be read.
+	ErrGone = errors.New("the history asked for is no longer kept")
+)
--- a/internal/gateway/forward/balancer.go
+++ b/internal/gateway/forward/balancer.go
@@ -69,7 +69,7 @@
 func (b *balancer) retries(req *request, svc *service, failure *verdict.Error) bool {
 	now := b.options.Clock()
 	decision := retry.Decide(retry.State{
-		Verdict: failure.Verdict(), Repeatable: req.route.Repeatable(),
+		Verdict: failure.Verdict(), Repeatable: req.route.Repeatable,
 		Sends: int(req.sends.Load()), MaxAttempts: req.route.MaxAttempts,
 		Left: req.deadline.Request().Sub(now), Usual: svc.usual(req.route),
 	})
--- a/internal/gateway/forward/forward_test.go
+++ b/internal/gateway/forward/forward_test.go
@@ -22,7 +22,6 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/forward"
 	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/headers"
-	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
@@ -141,16 +140,16 @@
 }
 
 func newTable(attempts int, timeout time.Duration) *routing.Table {
-	route := func(prefix string, mode policy.Mode, shares ...routing.Share) routing.Route {
+	route := func(prefix string, repeatable bool, shares ...routing.Share) routing.Route {
 		return routing.Route{
-			Name: prefix, Host: "shop.example", Prefix: prefix, Mode: mode, Shares: shares,
+			Name: prefix, Host: "shop.example", Prefix: prefix, Repeatable: repeatable, Shares: shares,
 			Objective: objective, Timeout: timeout, MaxAttempts: attempts,
 		}
 	}
 	return routing.New(routing.Config{Version: 7, Limits: routing.Limits{BodyBytes: 1 << 20}, Routes: []routing.Route{
-		route(readPath, policy.Repeatable, routing.Share{Service: "shop", Weight: 1}),
-		route(orderPath, policy.Single, routing.Share{Service: "shop", Weight: 1}),
-		route(splitPath, policy.Repeatable, routing.Share{Service: "shop", Weight: 3}, routing.Share{Service: "farm", Weight: 1}),
+		route(readPath, true, routing.Share{Service: "shop", Weight: 1}),
+		route(orderPath, false, routing.Share{Service: "shop", Weight: 1}),
+		route(splitPath, true, routing.Share{Service: "shop", Weight: 3}, routing.Share{Service: "farm", Weight: 1}),
 	}, Services: []routing.Service{{Name: "shop", HealthPath: "/health"}, {Name: "farm", HealthPath: "/health"}}})
 }
 
@@ -501,7 +500,7 @@
 	s := newStandin(t, "s1", "shop", "a", ok)
 	f := newFixture(t, s)
 	table := routing.New(routing.Config{Version: 8, Limits: routing.Limits{HeaderBytes: 1 << 10}, Routes: []routing.Route{{
-		Name: readPath, Host: "shop.example", Prefix: readPath, Mode: policy.Repeatable, MaxAttempts: 1,
+		Name: readPath, Host: "shop.example", Prefix: readPath, Repeatable: true, MaxAttempts: 1,
 		Objective: objective, Timeout: timeout, Shares: []routing.Share{{Service: "shop", Weight: 1}},
 	}}, Services: []routing.Service{{Name: "shop", HealthPath: "/health"}}})
 	f.view = snapshot.New(table, f.view.ByService())
--- a/internal/gateway/forward/hedge.go
+++ b/internal/gateway/forward/hedge.go
@@ -59,7 +59,7 @@
 
 func (b *balancer) hedgeDelay(req *request, svc *service) (time.Duration, bool) {
 	return retry.HedgeDelay(retry.First{
-		Repeatable: req.route.Repeatable(), Sends: int(req.sends.Load()), MaxAttempts: req.route.MaxAttempts,
+		Repeatable: req.route.Repeatable, Sends: int(req.sends.Load()), MaxAttempts: req.route.MaxAttempts,
 		Objective: req.route.Objective, Held: b.options.Clock().Sub(req.began), Usual: svc.usual(req.route),
 	})
 }
