--- a/core/gateway/catalog/catalog.go
+++ b/core/gateway/catalog/catalog.go
@@ -16,7 +16,7 @@
 //
 //	c := catalog.New()
 //	c.Replace(530, targets)               // a list, at the store's revision
-//	c.Advance(533, changes)               // what a watch told since
+//	c.Advance(533, changes)               // what a watch reported since
 //	delta := c.Since(catalog.Position{Config: 7, Targets: 530})
 package catalog
 
@@ -214,7 +214,7 @@
 	return d
 }
 
-// Merge takes in a delta and tells what changed.
+// Merge takes in a delta and says what changed.
 func (c *Catalog) Merge(d Delta) (configChanged, targetsChanged bool) {
 	if d.Config != nil {
 		configChanged = c.SetConfig(d.To.Config, d.Config)
--- a/core/gateway/ejection/ejection.go
+++ b/core/gateway/ejection/ejection.go
@@ -35,7 +35,7 @@
 	// queue is full for some tens of milliseconds.
 	shed = firstFailure / 4
 	// misdirected is how long a target is ejected whose address belongs to
-	// another one: until the store has told that it is gone.
+	// another one: until the store has said that it is gone.
 	misdirected = 10 * time.Second
 )
 
--- a/core/gateway/freshness/freshness.go
+++ b/core/gateway/freshness/freshness.go
@@ -90,7 +90,7 @@
 func (t *Tracker) OutrankedAge(now time.Time) time.Duration { return now.Sub(t.outranked) }
 
 // Reads says whether the gateway's own watches are in order, so that a change
-// would be told at once.
+// would be reported at once.
 func (t *Tracker) Reads(now time.Time) bool {
 	return t.config.live(now, t.timing) && t.targets.live(now, t.timing)
 }
@@ -106,7 +106,7 @@
 }
 
 // Pinged notes that a ping that began at a moment reached the store: a watch that
-// waited then had nothing to tell. Like Confirm it reports whether what is believed
+// waited then had nothing to report. Like Confirm it reports whether what is believed
 // had grown old.
 func (t *Tracker) Pinged(at time.Time, self string) (wasOld bool) {
 	t.config.pinged(at, t.timing)
--- a/core/gateway/freshness/watch.go
+++ b/core/gateway/freshness/watch.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// live says whether the watch would tell of a change at once.
+// live says whether the watch would report a change at once.
 func (w *Watch) live(now time.Time, t Timing) bool {
 	if !w.InStep() {
 		return false
--- a/core/gateway/outcome/outcome.go
+++ b/core/gateway/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package outcome tells how one send of a request to a target ended, and what
+// Package outcome says how one send of a request to a target ended, and what
 // that means for the request. Every rule that follows from the end of a send
 // (retrying, ejecting a target, learning) goes by an Outcome, so that they agree.
 //
--- a/core/gateway/placement/probe.go
+++ b/core/gateway/placement/probe.go
@@ -68,7 +68,7 @@
 	Avoid []string
 	// Ejected says whether a target gets no requests now.
 	Ejected func(id string) bool
-	// Connected says whether a connection to a target rests, which saves it the
+	// Connected says whether there is an idle connection to a target, which saves it the
 	// time of a new one; nil takes no account of that, so that a gateway goes on
 	// finding new targets.
 	Connected func(id string) bool
--- a/core/gateway/reader/reader.go
+++ b/core/gateway/reader/reader.go
@@ -21,8 +21,8 @@
 
 import "time"
 
-// Duty is the name by which gateways rank for reading the store.
-const Duty = "reader"
+// Role is the name by which gateways rank for reading the store.
+const Role = "reader"
 
 const (
 	// readers is how many gateways of the whole fleet read the store, and
--- a/core/gateway/refusal/refusal.go
+++ b/core/gateway/refusal/refusal.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// mayHaveRun tells how the last send ended, since nothing else can say whether
+// mayHaveRun says how the last send ended, since nothing else can say whether
 // the request ran. It names no time to come back: the client must not repeat.
 func (e Ending) mayHaveRun() *verdict.Error {
 	failure := e.Failure
--- a/core/gateway/routing/routing.go
+++ b/core/gateway/routing/routing.go
@@ -49,7 +49,7 @@
 // Service describes the targets of one service as a whole.
 type Service struct {
 	Name string
-	// HealthPath is where a target tells its health and load.
+	// HealthPath is where a target answers health probes.
 	HealthPath string
 }
 
@@ -61,7 +61,7 @@
 	// BodyBytes bounds the body of a request, in bytes; 0 for no bound.
 	BodyBytes int64
 	// HeaderTimeout bounds the time in which a client sends the head of a request,
-	// IdleTimeout that for which its connection rests.
+	// IdleTimeout that for which its connection stays idle.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -136,12 +136,12 @@
 	for _, share := range r.Shares {
 		total += share.Weight
 	}
-	rest := draw * total
+	left := draw * total
 	for _, share := range r.Shares {
-		if rest < share.Weight {
+		if left < share.Weight {
 			return share.Service
 		}
-		rest -= share.Weight
+		left -= share.Weight
 	}
 	if len(r.Shares) == 0 {
 		return ""
--- a/core/member/ranked_test.go
+++ b/core/member/ranked_test.go
@@ -69,9 +69,9 @@
 	for i := range 500 {
 		v.Heard(now, member.Box{ID: fmt.Sprint("box-", i), Hall: fmt.Sprint("hall-", i%4)})
 	}
-	duties := []member.Duty{{Name: "reader"}}
+	duties := []member.Role{{Name: "reader"}}
 	for _, hall := range v.Halls() {
-		duties = append(duties, member.Duty{Name: "relay/" + hall, Hall: hall})
+		duties = append(duties, member.Role{Name: "relay/" + hall, Hall: hall})
 	}
 	told := v.SightingsFor(now, duties, 5)
 	g.Expect(told[0].Box.ID).To(Equal("self"))
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// retainEvery is how often resting connections are looked through. Chosen.
+	// retainEvery is how often idle connections are looked through. Chosen.
 	retainEvery = time.Second
 	// maxHeaderBytes bounds the head of a client's request. Chosen.
 	maxHeaderBytes = 1 << 20
-	// clientIdle is how long a client's connection may rest. Chosen: longer than
-	// the users' clients rest theirs.
+	// clientIdle is how long a client's connection may stay idle. Chosen: longer than
+	// the users' clients leave theirs.
 	clientIdle = 5 * time.Minute
 )
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// retain closes connections to targets that are gone or that rest too long.
+// retain closes connections to targets that are gone or that are idle for too long.
 func (g *Gateway) retain(context.Context) {
 	known := map[string]bool{}
 	for _, targets := range g.discovery.Snapshot().ByService() {
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Settings are what a gateway is told at its start and at each reload.
+// Settings are what a gateway is given at its start and at each reload.
 type Settings struct {
 	// ID names the gateway; it is unique in the fleet.
 	ID string `json:"id"`
@@ -18,7 +18,7 @@
 	Listen string `json:"listen"`
 	// ReadyListen answers whether the gateway takes new clients.
 	ReadyListen string `json:"ready_listen"`
-	// PeerListen is where other gateways ask for news.
+	// PeerListen is where other gateways ask for updates.
 	PeerListen string `json:"peer_listen"`
 	// PeerAdvertise is the address under which other gateways reach PeerListen;
 	// empty where that is PeerListen itself.
@@ -122,7 +122,7 @@
 	return level, err
 }
 
-// peerAddress is where other gateways ask for news.
+// peerAddress is where other gateways ask for updates.
 func (s Settings) peerAddress() string {
 	if s.PeerAdvertise != "" {
 		return s.PeerAdvertise
--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -155,7 +155,7 @@
 }
 
 // Current says whether what is believed was confirmed lately, or this gateway's
-// own watches would tell of a change.
+// own watches would report a change.
 func (f *Follower) Current() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,7 +178,7 @@
 	return f.fresh.Reads(f.options.Clock())
 }
 
-// wake tells those that wait for a change; the lock is held.
+// wake wakes those that wait for a change; the lock is held.
 func (f *Follower) wake() {
 	close(f.changed)
 	f.changed = make(chan struct{})
--- a/internal/gateway/discovery/pack.go
+++ b/internal/gateway/discovery/pack.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// mostConfig bounds a configuration that another gateway tells, in bytes.
-const mostConfig = 64 << 20
+// maxConfig bounds a configuration that another gateway sends, in bytes.
+const maxConfig = 64 << 20
 
 // packed is a configuration's body as gateways send it to each other, kept so
 // that a relay packs each version once.
@@ -39,12 +39,12 @@
 
 // unpack gives back the body.
 func unpack(body []byte) ([]byte, error) {
-	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), mostConfig+1))
+	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxConfig+1))
 	if err != nil {
 		return nil, fmt.Errorf("a peer's configuration can't be unpacked: %w", err)
 	}
-	if len(out) > mostConfig {
-		return nil, fmt.Errorf("a peer's configuration is longer than %d bytes", mostConfig)
+	if len(out) > maxConfig {
+		return nil, fmt.Errorf("a peer's configuration is longer than %d bytes", maxConfig)
 	}
 	return out, nil
 }
--- a/internal/gateway/discovery/peers.go
+++ b/internal/gateway/discovery/peers.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// dutyRelay, with the hall's name, is the name by which gateways rank for
+	// relayRole, with the hall's name, is the name by which gateways rank for
 	// relaying updates to the others of their hall.
-	dutyRelay = "relay/"
+	relayRole = "relay/"
 	// tryFirstEvery is how often the first in rank is asked, though another
 	// gateway reads, so that it is found when it can read again. Chosen.
 	tryFirstEvery = 2 * time.Second
 	// staleFor is how long a gateway without fresh knowledge is passed over.
 	// Chosen.
 	staleFor = 700 * time.Millisecond
-	// sightingsPerDuty is how many gateways are named to another for each duty:
+	// sightingsPerRole is how many gateways are named to another for each role:
 	// some more than take it up, as some may be gone. Chosen.
-	sightingsPerDuty = 5
+	sightingsPerRole = 5
 )
 
 // peers is what is known of asking other gateways; the follower's lock guards it.
@@ -73,7 +73,7 @@
 func (f *Follower) relaysBefore(now time.Time) []member.Box {
 	self := f.options.Self
 	var before []member.Box
-	for _, box := range f.members.Ranked(now, dutyRelay+self.Hall, allRanked) {
+	for _, box := range f.members.Ranked(now, relayRole+self.Hall, allRanked) {
 		if box.ID == self.ID {
 			break
 		}
@@ -164,9 +164,9 @@
 
 // sightings is whom this gateway names to another; the lock is held.
 func (f *Follower) sightings(now time.Time) []member.Sighting {
-	duties := []member.Duty{{Name: reader.Duty}}
+	roles := []member.Role{{Name: reader.Role}}
 	for _, hall := range f.members.Halls() {
-		duties = append(duties, member.Duty{Name: dutyRelay + hall, Hall: hall})
+		roles = append(roles, member.Role{Name: relayRole + hall, Hall: hall})
 	}
-	return f.members.SightingsFor(now, duties, sightingsPerDuty)
+	return f.members.SightingsFor(now, roles, sightingsPerRole)
 }
--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -25,7 +25,7 @@
 }
 
 // isRelied says whether this gateway's watches are in order and others ask for
-// what they tell.
+// what they report.
 func (f *Follower) isRelied(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -7,7 +7,7 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// allRanked asks for the whole order of a duty, and is the rank of a gateway that
+// allRanked asks for the whole order of a role, and is the rank of a gateway that
 // is not in it.
 const allRanked = 1 << 20
 
@@ -55,7 +55,7 @@
 
 // ranked lists the usable gateways in the order of readers; the lock is held.
 func (f *Follower) ranked(now time.Time) []member.Box {
-	return f.members.Ranked(now, reader.Duty, allRanked)
+	return f.members.Ranked(now, reader.Role, allRanked)
 }
 
 // rank is this gateway's place in the order of readers; the lock is held.
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// hasAnswer says whether there is something to tell now: an update, a word that
+// hasAnswer says whether there is something to answer now: an update, a word that
 // confirms the caller's old knowledge, or that this gateway is of no use to it;
 // the lock is held.
 func (f *Follower) hasAnswer(args UpdateArgs, asked time.Time) bool {
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -65,14 +65,14 @@
 	Log     *slog.Logger
 	// Draw gives a uniform number in [0, 1).
 	Draw func() float64
-	// Explore says whether a search for a target takes no account of resting
+	// Explore says whether a search for a target takes no account of idle
 	// connections, so that new targets are found; nil for one of four, at random.
 	Explore func() bool
 }
 
 const (
 	// exploreShare is the share of the searches that explore. Measured:
-	// docs/DESIGN.md, "targets with a resting connection first, three times of
+	// docs/DESIGN.md, "targets with an idle connection first, three times of
 	// four".
 	exploreShare = 0.25
 	// readyTimeout is how long a request waits for a process that has just begun
--- a/internal/gateway/forward/probe.go
+++ b/internal/gateway/forward/probe.go
@@ -52,8 +52,8 @@
 		Ejected: func(id string) bool { return svc.isEjected(now, id) },
 	}
 	if !b.options.Explore() {
-		resting := b.options.Pool.Resting()
-		filter.Connected = func(id string) bool { return resting[id] > 0 }
+		idle := b.options.Pool.Idle()
+		filter.Connected = func(id string) bool { return idle[id] > 0 }
 	}
 	return placement.Order(req.targets, filter, rand.Shuffle)
 }
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -42,7 +42,7 @@
 	cut        metric.Int64Counter
 }
 
-// State is what a gateway tells of itself when its metrics are read.
+// State is what a gateway shows of itself when its metrics are read.
 type State struct {
 	// ConfigVersion is the version in force, ConfigAge how long ago, in
 	// seconds, it was confirmed to be the newest.
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -175,7 +175,7 @@
 	return body, err
 }
 
-// learnIdle reads how long the target keeps a resting connection.
+// learnIdle reads how long the target keeps an idle connection.
 func (c *Conn) learnIdle(h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -188,7 +188,7 @@
 	}
 }
 
-// failureOf tells whether the target may have run a request without an answer.
+// failureOf says whether the target may have run a request without an answer.
 func failureOf(ctx context.Context, cause error, wrote written) *verdict.Error {
 	v := verdict.MayHaveRun
 	if wrote.bytes == 0 && wrote.err != nil {
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -4,7 +4,7 @@
 // target may have run it. Why it uses the parser of net/http and not its transport:
 // docs/DESIGN.md, "Why our own connections".
 //
-// It owns the resting connections. It relies on targets for framing and ids only as
+// It owns the idle connections. It relies on targets for framing and ids only as
 // far as it can check them; a connection on which anything is out of order is
 // closed and not used again.
 //
@@ -34,7 +34,7 @@
 )
 
 const (
-	// defaultIdle is how long a connection may rest where targets don't say.
+	// defaultIdle is how long a connection may stay idle where targets don't say.
 	// Chosen: shorter than servers usually keep one.
 	defaultIdle = 4 * time.Second
 	// idleShare is the share of a target's own idle time that is used, so that a
@@ -95,14 +95,14 @@
 	reader    *bufio.Reader
 	exchanges int
 	idleLimit time.Duration
-	restedAt  time.Time
+	idleSince time.Time
 	reusable  bool
 }
 
 // Target is the target at the other end.
 func (c *Conn) Target() catalog.Target { return c.target }
 
-// Get takes a resting connection to a target, or makes a new one.
+// Get takes an idle connection to a target, or makes a new one.
 func (p *Pool) Get(ctx context.Context, target catalog.Target) (*Conn, *verdict.Error) {
 	for {
 		conn := p.takeIdle(target.ID)
@@ -119,12 +119,12 @@
 func (p *Pool) takeIdle(id string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	resting := p.idle[id]
-	if len(resting) == 0 {
+	conns := p.idle[id]
+	if len(conns) == 0 {
 		return nil
 	}
-	conn := resting[len(resting)-1]
-	p.idle[id] = resting[:len(resting)-1]
+	conn := conns[len(conns)-1]
+	p.idle[id] = conns[:len(conns)-1]
 	return conn
 }
 
@@ -148,7 +148,7 @@
 		c.Close()
 		return
 	}
-	c.restedAt = p.options.Clock()
+	c.idleSince = p.options.Clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[c.target.ID] = append(p.idle[c.target.ID], c)
@@ -160,10 +160,10 @@
 	_ = c.net.Close()
 }
 
-// quiet says whether a resting connection can be used: it has not rested for
+// quiet says whether an idle connection can be used: it has not been idle for
 // too long, the target has not closed it, and nothing lies unread on it.
 func (c *Conn) quiet() bool {
-	if c.pool.options.Clock().Sub(c.restedAt) > c.idleLimit || c.reader.Buffered() > 0 {
+	if c.pool.options.Clock().Sub(c.idleSince) > c.idleLimit || c.reader.Buffered() > 0 {
 		return false
 	}
 	system, ok := c.net.(syscall.Conn)
@@ -184,22 +184,22 @@
 	return err == nil && nothing
 }
 
-// Retain closes the resting connections that have rested for too long and
+// Retain closes the idle connections that have been idle for too long and
 // those to targets that keep does not name.
 func (p *Pool) Retain(keep func(id string) bool) {
 	now := p.options.Clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, resting := range p.idle {
-		kept := resting[:0]
-		for _, conn := range resting {
-			if keep(id) && now.Sub(conn.restedAt) <= conn.idleLimit {
+	for id, conns := range p.idle {
+		kept := conns[:0]
+		for _, conn := range conns {
+			if keep(id) && now.Sub(conn.idleSince) <= conn.idleLimit {
 				kept = append(kept, conn)
 				continue
 			}
 			conn.Close()
 		}
-		clear(resting[len(kept):])
+		clear(conns[len(kept):])
 		p.idle[id] = kept
 		if len(kept) == 0 {
 			delete(p.idle, id)
@@ -207,16 +207,16 @@
 	}
 }
 
-// Resting counts the resting connections by the target's id.
-func (p *Pool) Resting() map[string]int {
+// Idle counts the idle connections by the target's id.
+func (p *Pool) Idle() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	counts := make(map[string]int, len(p.idle))
-	for id, resting := range p.idle {
-		counts[id] = len(resting)
+	for id, conns := range p.idle {
+		counts[id] = len(conns)
 	}
 	return counts
 }
 
-// Close ends all resting connections.
+// Close ends all idle connections.
 func (p *Pool) Close() { p.Retain(func(string) bool { return false }) }
