--- a/box/run.go
+++ b/box/run.go
@@ -31,39 +31,55 @@
 func (b *Box) Run(ctx context.Context) error {
 	ctx, b.stop = context.WithCancel(ctx)
 	defer b.stop()
-	server := b.peers
 	// The duties outlive ctx: a draining box still needs them.
 	duties, endDuties := context.WithCancel(context.WithoutCancel(ctx))
 	defer endDuties()
-	clients := b.clientServer()
-	admin := b.adminServer()
-
 	var group run.Group
+	b.addDuties(duties, &group)
+	b.addServers(&group)
+	b.addClients(ctx, &group)
+	b.log.Info("box started", "clients", b.ClientAddress(), "peers", b.PeerAddress(), "admin", b.AdminAddress())
+	err := group.Run()
+	b.members.Close()
+	b.entry.Close()
+	_ = b.telemetry.Shutdown(context.WithoutCancel(ctx))
+	if errors.Is(err, lifecycle.ErrStopped) {
+		b.log.Info("box stopped")
+		return nil
+	}
+	return trace.Wrap(err)
+}
+
+// addDuties adds what works in the background until the group ends.
+func (b *Box) addDuties(ctx context.Context, group *run.Group) {
 	for _, duty := range b.duties() {
-		dutyCtx, end := context.WithCancel(duties)
+		dutyCtx, end := context.WithCancel(ctx)
 		group.Add(func() error { return lifecycle.UntilEnded(dutyCtx, duty) }, func(error) { end() })
 	}
-	group.Add(func() error { return server.Serve(b.listeners.peers) }, func(error) {
+}
+
+// addServers adds what answers other boxes and operators. The errors of closing
+// say nothing: the group has ended then.
+func (b *Box) addServers(group *run.Group) {
+	peers, admin := b.peers, b.adminServer()
+	group.Add(func() error { return peers.Serve(b.listeners.peers) }, func(error) {
 		_ = b.listeners.peers.Close()
-		server.Close()
+		peers.Close()
 	})
 	group.Add(func() error { return b.serveAdmin(admin) }, func(error) { _ = admin.Close() })
+}
+
+// addClients adds what serves clients, and what drains the box when ctx ends.
+func (b *Box) addClients(ctx context.Context, group *run.Group) {
+	clients := b.clientServer()
 	drained := make(chan struct{})
-	group.Add(func() error { return lifecycle.ServeUntil(clients, b.listeners.clients, drained) }, func(error) { _ = clients.Close() })
+	group.Add(func() error {
+		return lifecycle.ServeUntil(clients, b.listeners.clients, drained)
+	}, func(error) { _ = clients.Close() })
 	group.Add(func() error {
 		defer close(drained)
 		return b.drainAfter(ctx, clients)
 	}, func(error) { b.stop() })
-	b.log.Info("box started", "clients", b.ClientAddress(), "peers", b.PeerAddress(), "admin", b.AdminAddress())
-	err := group.Run()
-	b.members.Close()
-	b.entry.Close()
-	_ = b.telemetry.Shutdown(context.WithoutCancel(ctx))
-	if errors.Is(err, lifecycle.ErrStopped) {
-		b.log.Info("box stopped")
-		return nil
-	}
-	return trace.Wrap(err)
 }
 
 // Stop begins a planned stop, as a signal does.
--- a/internal/box/entry/send.go
+++ b/internal/box/entry/send.go
@@ -211,8 +211,7 @@
 func outcome(r *http.Response, result health.Result, took time.Duration) ledger.Outcome {
 	o := ledger.Outcome{Result: result, Took: took}
 	if r != nil {
-		o.Start, _ = strconv.ParseUint(r.Header.Get(HeaderTargetStart), 10, 64)
-		o.Leaving = r.Header.Get(HeaderTargetState) == TargetLeaving
+		ReadTargetState(r.Header, &o)
 	}
 	return o
 }
@@ -240,3 +239,12 @@
 		return health.Failed
 	}
 }
+
+// ReadTargetState adds what a target's answer says of its start and of leaving. A
+// start that is left out or no number is 0: it tells no life from another.
+func ReadTargetState(h http.Header, o *ledger.Outcome) {
+	if start, err := strconv.ParseUint(h.Get(HeaderTargetStart), 10, 64); err == nil {
+		o.Start = start
+	}
+	o.Leaving = h.Get(HeaderTargetState) == TargetLeaving
+}
--- a/internal/box/probe/probe.go
+++ b/internal/box/probe/probe.go
@@ -14,7 +14,6 @@
 	"context"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -189,8 +188,7 @@
 	if response.StatusCode >= http.StatusInternalServerError {
 		o.Result = health.Failed
 	}
-	o.Start, _ = strconv.ParseUint(response.Header.Get(entry.HeaderTargetStart), 10, 64)
-	o.Leaving = response.Header.Get(entry.HeaderTargetState) == entry.TargetLeaving
+	entry.ReadTargetState(response.Header, &o)
 	return o
 }
 
--- a/internal/cli/object/delete.go
+++ b/internal/cli/object/delete.go
@@ -11,33 +11,20 @@
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
 )
 
-type deleteOptions struct {
-	factory *cmdutil.Factory
-	noun    envelope.Noun
-	name    string
-	json    bool
-}
-
-func newDelete(f *cmdutil.Factory, noun envelope.Noun, run func(context.Context, *deleteOptions) error) *cli.Command {
-	o := &deleteOptions{factory: f, noun: noun}
+func newDelete(f *cmdutil.Factory, noun envelope.Noun, run func(context.Context, *namedOptions) error) *cli.Command {
+	o := &namedOptions{factory: f, noun: noun}
 	return &cli.Command{
 		Name:      "delete",
 		Usage:     fmt.Sprintf("Take a %s out of force; its history stays", noun),
 		UsageText: fmt.Sprintf("sprucecrank %s delete NAME", noun),
 		Flags:     []cli.Flag{jsonFlag(&o.json)},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			var err error
-			if o.name, err = nameArgument(c); err != nil {
-				return err
-			}
-			return run(ctx, o)
-		},
+		Action:    o.withName(func(ctx context.Context) error { return run(ctx, o) }),
 	}
 }
 
 // runDelete writes a tombstone: a version like any other, so that creating the
 // object anew later is never taken for going back.
-func runDelete(ctx context.Context, o *deleteOptions) error {
+func runDelete(ctx context.Context, o *namedOptions) error {
 	_, version, err := existing(ctx, o.factory, o.noun, o.name)
 	if err != nil {
 		return err
--- a/internal/cli/object/history.go
+++ b/internal/cli/object/history.go
@@ -12,31 +12,18 @@
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
 )
 
-type historyOptions struct {
-	factory *cmdutil.Factory
-	noun    envelope.Noun
-	name    string
-	json    bool
-}
-
-func newHistory(f *cmdutil.Factory, noun envelope.Noun, run func(context.Context, *historyOptions) error) *cli.Command {
-	o := &historyOptions{factory: f, noun: noun}
+func newHistory(f *cmdutil.Factory, noun envelope.Noun, run func(context.Context, *namedOptions) error) *cli.Command {
+	o := &namedOptions{factory: f, noun: noun}
 	return &cli.Command{
 		Name:      "history",
 		Usage:     fmt.Sprintf("List the versions of a %s, newest first", noun),
 		UsageText: fmt.Sprintf("sprucecrank %s history NAME", noun),
 		Flags:     []cli.Flag{jsonFlag(&o.json)},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			var err error
-			if o.name, err = nameArgument(c); err != nil {
-				return err
-			}
-			return run(ctx, o)
-		},
+		Action:    o.withName(func(ctx context.Context) error { return run(ctx, o) }),
 	}
 }
 
-func runHistory(ctx context.Context, o *historyOptions) error {
+func runHistory(ctx context.Context, o *namedOptions) error {
 	env, version, err := current(ctx, o.factory, o.noun, o.name)
 	if err != nil {
 		return err
--- a/internal/cli/object/object.go
+++ b/internal/cli/object/object.go
@@ -37,12 +37,23 @@
 	return &cli.BoolFlag{Name: "json", Usage: "write JSON for scripts", Destination: into}
 }
 
-// nameArgument takes the one name that a verb needs.
-func nameArgument(c *cli.Command) (string, error) {
-	if c.Args().Len() != 1 {
-		return "", cmdutil.Usage("%s takes one name; see %s --help", c.FullName(), c.FullName())
+// namedOptions are those of a verb about one object.
+type namedOptions struct {
+	factory *cmdutil.Factory
+	noun    envelope.Noun
+	name    string
+	json    bool
+}
+
+// withName takes the one name that such a verb needs before it runs.
+func (o *namedOptions) withName(run func(context.Context) error) cli.ActionFunc {
+	return func(ctx context.Context, c *cli.Command) error {
+		if c.Args().Len() != 1 {
+			return cmdutil.Usage("%s takes one name; see %s --help", c.FullName(), c.FullName())
+		}
+		o.name = c.Args().First()
+		return run(ctx)
 	}
-	return c.Args().First(), nil
 }
 
 // check validates a document and finds its name.
--- a/internal/cli/object/rollback.go
+++ b/internal/cli/object/rollback.go
@@ -13,15 +13,12 @@
 )
 
 type rollbackOptions struct {
-	factory *cmdutil.Factory
-	noun    envelope.Noun
-	name    string
+	namedOptions
 	version uint64
-	json    bool
 }
 
 func newRollback(f *cmdutil.Factory, noun envelope.Noun, run func(context.Context, *rollbackOptions) error) *cli.Command {
-	o := &rollbackOptions{factory: f, noun: noun}
+	o := &rollbackOptions{namedOptions: namedOptions{factory: f, noun: noun}}
 	return &cli.Command{
 		Name:      "rollback",
 		Usage:     fmt.Sprintf("Submit an earlier version of a %s again, as a new version", noun),
@@ -30,13 +27,7 @@
 			jsonFlag(&o.json),
 			&cli.Uint64Flag{Name: "to", Usage: "the version to submit again", Required: true, Destination: &o.version},
 		},
-		Action: func(ctx context.Context, c *cli.Command) error {
-			var err error
-			if o.name, err = nameArgument(c); err != nil {
-				return err
-			}
-			return run(ctx, o)
-		},
+		Action: o.withName(func(ctx context.Context) error { return run(ctx, o) }),
 	}
 }
 
--- a/internal/cli/object/show.go
+++ b/internal/cli/object/show.go
@@ -10,28 +10,17 @@
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
 )
 
-type showOptions struct {
-	factory *cmdutil.Factory
-	noun    envelope.Noun
-	name    string
-}
-
-func newShow(f *cmdutil.Factory, noun envelope.Noun, run func(context.Context, *showOptions) error) *cli.Command {
+func newShow(f *cmdutil.Factory, noun envelope.Noun, run func(context.Context, *namedOptions) error) *cli.Command {
+	o := &namedOptions{factory: f, noun: noun}
 	return &cli.Command{
 		Name:      "show",
 		Usage:     fmt.Sprintf("Write the %s that is in force, as JSON", noun),
 		UsageText: fmt.Sprintf("sprucecrank %s show NAME", noun),
-		Action: func(ctx context.Context, c *cli.Command) error {
-			name, err := nameArgument(c)
-			if err != nil {
-				return err
-			}
-			return run(ctx, &showOptions{factory: f, noun: noun, name: name})
-		},
+		Action:    o.withName(func(ctx context.Context) error { return run(ctx, o) }),
 	}
 }
 
-func runShow(ctx context.Context, o *showOptions) error {
+func runShow(ctx context.Context, o *namedOptions) error {
 	env, version, err := existing(ctx, o.factory, o.noun, o.name)
 	if err != nil {
 		return err
