--- a/cmd/sprucecrank-gateway/main.go
+++ b/cmd/sprucecrank-gateway/main.go
@@ -1,4 +1,6 @@
-// Command sprucecrank-gateway is the gateway's daemon on the users' platform.
+// Command sprucecrank-gateway is the gateway's daemon on the users' platform: it
+// reads the settings, joins the adapter (platform) and the gateway, and passes
+// signals on. SIGTERM drains the gateway, SIGHUP reads the settings again.
 package main
 
 import (
@@ -55,15 +57,16 @@
 	return g.Run(ctx)
 }
 
-// memoryPart is the part of the memory that the process may use at which the
-// garbage collector begins to work harder.
-const memoryPart = 0.8
+// memoryShare is the share of the memory that the process may use at which the
+// garbage collector begins to work harder. Chosen: the rest is for what it does
+// not count, such as stacks of system threads.
+const memoryShare = 0.8
 
 // apply puts those settings in force that belong to the process as a whole.
 func apply(s gateway.Settings, level *slog.LevelVar) {
 	level.Set(s.Level())
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * s.MemoryMB * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryShare * s.MemoryMB * (1 << 20)))
 	}
 }
 
@@ -77,7 +80,7 @@
 }
 
 // lookEvery is how often the settings file is compared with what is in force: it
-// may change without a signal.
+// may change without a signal. Chosen.
 const lookEvery = 5 * time.Second
 
 // reload reads the settings again at each SIGHUP, and now and then without one;
--- a/e2e/gateway/process_test.go
+++ b/e2e/gateway/process_test.go
@@ -42,17 +42,17 @@
 	return path, nil
 })
 
-// backend is a server that counts how often each attempt ran.
-type backend struct {
+// targetServer is a target that counts how often each attempt ran.
+type targetServer struct {
 	id   string
 	http *httptest.Server
 	runs *sync.Map // attempt id -> *atomic.Int32
 	work time.Duration
 }
 
-func newBackend(t *testing.T, id string, runs *sync.Map, work time.Duration) *backend {
+func newTargetServer(t *testing.T, id string, runs *sync.Map, work time.Duration) *targetServer {
 	t.Helper()
-	b := &backend{id: id, runs: runs, work: work}
+	b := &targetServer{id: id, runs: runs, work: work}
 	b.http = httptest.NewServer(b)
 	t.Cleanup(func() {
 		b.http.CloseClientConnections()
@@ -61,9 +61,9 @@
 	return b
 }
 
-func (b *backend) address() string { return b.http.Listener.Addr().String() }
+func (b *targetServer) address() string { return b.http.Listener.Addr().String() }
 
-func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *targetServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Server-Load", "0,0,8,100")
 	if r.URL.Path == "/health" {
 		w.Header().Set("Instance-Id", b.id)
@@ -173,7 +173,7 @@
 // deployment is a store, servers and gateways.
 type deployment struct {
 	store    *storetest.Store
-	backends []*backend
+	targets  []*targetServer
 	gateways []*process
 	runs     sync.Map
 }
@@ -185,8 +185,8 @@
 	d.store, address = storetest.New(t)
 	d.configure(1)
 	for i := range 3 {
-		b := newBackend(t, fmt.Sprint("i-", i), &d.runs, work)
-		d.backends = append(d.backends, b)
+		b := newTargetServer(t, fmt.Sprint("i-", i), &d.runs, work)
+		d.targets = append(d.targets, b)
 		d.store.Put(storetest.Servers, b.id, storetest.ServerEntry("shop", b.address(), "ready"))
 	}
 	var seeds []string
@@ -377,10 +377,10 @@
 func TestALeavingServerGetsNoNewRequests(t *testing.T) {
 	g := NewWithT(t)
 	d := newDeployment(t, 2, time.Millisecond)
-	leaving := d.backends[0]
+	leaving := d.targets[0]
 	d.store.Put(storetest.Servers, leaving.id, storetest.ServerEntry("shop", leaving.address(), "draining"))
-	d.store.Remove(storetest.Servers, d.backends[1].id)
-	only := d.backends[2].id
+	d.store.Remove(storetest.Servers, d.targets[1].id)
+	only := d.targets[2].id
 	for i, p := range d.gateways {
 		g.Eventually(func() bool {
 			for n := range 20 {
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -53,7 +53,9 @@
 	LogLevel string `json:"log_level,omitempty"`
 }
 
-// Defaults that a settings document may leave out.
+// Defaults of what a settings document may leave out, in seconds but for the ratio.
+// Chosen, of the size of the users' deployments, whose settings name them all;
+// a tenth is the share of second sends that the box allows, too.
 const (
 	defaultApplyWithin = 2.0
 	defaultStopWithin  = 6.0
