--- a/box/box.go
+++ b/box/box.go
@@ -2,6 +2,9 @@
 // the duties together: the data path, the granting of slots, the exchange with
 // peers, the following of the configuration, measuring, and administration.
 //
+// It owns the sockets, the start and the planned stop of a box. What must last stands
+// in the object API (box/store), on which only once kinds depend while it is away.
+//
 // # Usage
 //
 //	settings, err := box.ReadSettings("box.json")
--- a/box/peer/peer.go
+++ b/box/peer/peer.go
@@ -2,6 +2,10 @@
 // messages. A Link is one box's connection to another; it tells a silent box,
 // frozen or cut off, from a slow answer by pinging while calls are outstanding.
 //
+// It owns the messages, whose exported fields are their form on the wire, and the
+// liveness of a link. It relies on both ends being of versions that know each other's
+// fields; it is not authenticated.
+//
 // # Usage
 //
 //	link := peer.NewLink(peer.LinkOptions{Address: "10.0.0.3:8100"})
--- a/box/policy/service.go
+++ b/box/policy/service.go
@@ -5,6 +5,9 @@
 // they are accepted: unknown fields are refused, and every problem is reported
 // with its path, what was found and what is allowed.
 //
+// It owns the form of both documents, which are stored: fields keep their names. It
+// relies on expr for the programs and bounds what they may cost (bound.go).
+//
 // # Usage
 //
 //	service, err := policy.ParseService(raw)
--- a/box/ring/ring.go
+++ b/box/ring/ring.go
@@ -1,7 +1,9 @@
 // Package ring is the bounded queue that joins the duties of a box.
 //
-// A ring never blocks its producer: when it is full the value is refused and
-// counted, so that a slow duty cannot hold up the data path.
+// A ring never blocks its producer: when it is full the value is refused, so
+// that a slow duty cannot hold up the data path.
+//
+// It owns the values that wait. It relies on nothing.
 //
 // # Usage
 //
@@ -10,9 +12,7 @@
 //	ev, err := r.Pop(ctx)
 package ring
 
-import (
-	"context"
-)
+import "context"
 
 // Ring is a bounded first-in, first-out queue, safe for concurrent use.
 type Ring[T any] struct {
--- a/box/store/store.go
+++ b/box/store/store.go
@@ -7,6 +7,9 @@
 // a conditional update may be sent again, because at most one of the copies
 // can find the version that it expects.
 //
+// It owns the calls and their rate; it keeps no object. It relies on the versions of
+// the object API growing. Errors say which of the three a failure was.
+//
 // # Usage
 //
 //	c := store.New(store.Options{Address: "10.0.0.2:7000"})
--- a/core/box/accepted/accepted.go
+++ b/core/box/accepted/accepted.go
@@ -3,6 +3,9 @@
 // a watch, a list or a peer says later. A deleted object leaves a tombstone
 // with a version of its own, so that deleting and creating anew is no way back.
 //
+// It owns what is in force on this box, for the life of the process. It relies on
+// versions alone, does no I/O and reads no clock.
+//
 // # Usage
 //
 //	book := accepted.New()
--- a/core/box/budget/budget.go
+++ b/core/box/budget/budget.go
@@ -2,6 +2,9 @@
 // buried: Time bounds how much of a target's time measuring may take, and Share
 // bounds retries and hedges to a part of the successes.
 //
+// It owns both budgets of one box. It relies on its caller for the time, does no I/O
+// and reads no clock.
+//
 // # Usage
 //
 //	t := budget.NewTime(0.5, 20*time.Millisecond) // 0.5 ms a second
--- a/core/box/health/health.go
+++ b/core/box/health/health.go
@@ -6,6 +6,9 @@
 // which one trial request decides. A target that is much slower than usual is
 // suspect and is trusted with one slot.
 //
+// It owns the state of one target as one home sees it. It relies on the outcomes that
+// boxes report.
+//
 // # Usage
 //
 //	tracker := health.New(3)
--- a/core/box/ledger/ledger.go
+++ b/core/box/ledger/ledger.go
@@ -6,6 +6,10 @@
 // box that holds it has vanished. Two ledgers of one service may exist at once;
 // then targets are promised more than they have for a moment and shed.
 //
+// It owns the promises, the queue and the health of a service's targets at its home.
+// It relies on boxes to give slots back or to name what they hold, and on
+// core/box/health.
+//
 // # Usage
 //
 //	l := ledger.New(ledger.Options{MaxQueue: 2000, Random: rand.Float64})
--- a/core/box/once/once.go
+++ b/core/box/once/once.go
@@ -8,6 +8,9 @@
 // taken over. A refused one may be, but only by a try that began after it: a try
 // that finds any other's record while it moves its own gives up.
 //
+// It owns the states of a record and the moves between them. It relies on the object
+// API's conditional updates for every promise, and on clocks only to expire records.
+//
 // # Usage
 //
 //	step := once.Begin(now, found, fingerprint)
--- a/core/gateway/placement/decide.go
+++ b/core/gateway/placement/decide.go
@@ -1,6 +1,10 @@
 package placement
 
-import "time"
+import (
+	"time"
+
+	"github.com/sprucecrank/sprucecrank/verdict"
+)
 
 const (
 	// searchShare is the share of a route's objective that the search for a
@@ -94,6 +98,19 @@
 // (Contention.Waited).
 func (d Decision) Contended() bool { return d.contended }
 
+// Refusal is why a decision refuses the request; nil of the other decisions. No
+// target has had the request, so that each is a promise.
+func (d Decision) Refusal() *verdict.Error {
+	switch d.action {
+	case RefuseNoTarget:
+		return verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "no target of the service is known")
+	case RefuseFull:
+		return verdict.New(verdict.NotRun, verdict.ReasonTooLate, "every target asked is too full to answer in time")
+	default:
+		return nil
+	}
+}
+
 // Decide says what becomes of a request after a round of probes. While only the
 // own hall was probed, only an idle target will do; then a free one from which an
 // answer is predicted in time; in the last round a full one, too, if its queue is
--- a/core/gateway/placement/placement_test.go
+++ b/core/gateway/placement/placement_test.go
@@ -11,6 +11,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 	"github.com/sprucecrank/sprucecrank/core/gateway/load"
 	"github.com/sprucecrank/sprucecrank/core/gateway/placement"
+	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
 const (
@@ -75,6 +76,11 @@
 			})
 			g.Expect(d.Action()).To(Equal(c.action))
 			g.Expect(d.Contended()).To(Equal(c.contended))
+			refuses := c.action == placement.RefuseFull || c.action == placement.RefuseNoTarget
+			g.Expect(d.Refusal() != nil).To(Equal(refuses))
+			if refuses {
+				g.Expect(d.Refusal().Verdict()).To(Equal(verdict.NotRun))
+			}
 		})
 	}
 }
--- a/core/gateway/placement/probe.go
+++ b/core/gateway/placement/probe.go
@@ -68,15 +68,15 @@
 	Avoid []string
 	// Ejected says whether a target gets no requests now.
 	Ejected func(id string) bool
-	// Connected says whether there is an idle connection to a target, which saves it the
-	// time of a new one; nil takes no account of that, so that a gateway goes on
-	// finding new targets.
+	// Connected says whether there is an idle connection to a target, which saves
+	// it the time of a new one; nil takes no account of that, so that a gateway
+	// goes on finding new targets.
 	Connected func(id string) bool
 }
 
-// Order draws the order in which targets are probed: those of the own hall, then
-// others, each in random order with connected ones first. Ejected targets are
-// left out unless there are no others. shuffle is as rand.Shuffle.
+// Order draws the order in which targets are probed: those of the own hall,
+// connected ones first, then others, else at random. Ejected targets are left out
+// unless there are no others. shuffle is as rand.Shuffle.
 func Order(targets []catalog.Target, f Filter, shuffle func(n int, swap func(i, j int))) (local, remote []catalog.Target) {
 	var ejected []catalog.Target
 	for _, t := range targets {
--- a/internal/box/entry/handler.go
+++ b/internal/box/entry/handler.go
@@ -3,6 +3,9 @@
 // whole. Every answer says in the header Sprucecrank-Verdict whether the
 // request may have run.
 //
+// It owns the requests under way at a box and their tries. It relies on a broker for
+// slots (internal/box/grant) and on a runner for once kinds (internal/box/oncerun).
+//
 // # Usage
 //
 //	h := entry.New(entry.Options{Broker: broker, Runner: runner, Clock: time.Now, ...})
--- a/internal/box/envelope/envelope.go
+++ b/internal/box/envelope/envelope.go
@@ -1,6 +1,8 @@
 // Package envelope is the form in which services and policies stand in the
 // platform: the accepted value, who submitted it, and the versions before it.
 //
+// It owns that form, which is stored: fields keep their names.
+//
 // # Usage
 //
 //	next := current.Next(envelope.Revision{ID: uuid.NewString(), By: "som", Value: raw})
--- a/internal/box/follow/follow.go
+++ b/internal/box/follow/follow.go
@@ -1,8 +1,11 @@
 // Package follow keeps a box's configuration and view of the others up to date:
-// it watches the platform, swaps news with peers, and reads the platform's
+// it watches the platform, exchanges updates with peers, and reads the platform's
 // lists of members. Each is a duty of its own; any one of them is enough for a
 // new version to come through.
 //
+// It owns nothing of its own: what it learns goes into a book (core/box/accepted) and
+// a view (core/member). It goes on with what is known while the object API is away.
+//
 // # Usage
 //
 //	f := follow.New(follow.Options{Book: book, Platform: client, Members: members, ...})
--- a/internal/box/grant/grant.go
+++ b/internal/box/grant/grant.go
@@ -2,6 +2,9 @@
 // asks the home of the service; when the home is silent it asks the next one,
 // and at last the box's own ledger.
 //
+// It owns the slots that its box holds and names them to a new home. It relies on
+// homes by box/peer and, without any, on the own ledger.
+//
 // # Usage
 //
 //	slot, failure := broker.Acquire(ctx, grant.Request{Service: "preview", Kind: kind})
--- a/internal/box/home/home.go
+++ b/internal/box/home/home.go
@@ -2,6 +2,9 @@
 // service and lets asks wait for their decision. Any box answers any ask; which
 // box is asked is the asker's decision.
 //
+// It owns the ledgers and what waits in them; they are lost with the process and
+// learnt anew from the boxes. It relies on core/box/ledger for every decision.
+//
 // # Usage
 //
 //	h := home.New(home.Options{Clock: time.Now, Random: rand.Float64})
--- a/internal/box/oncerun/oncerun.go
+++ b/internal/box/oncerun/oncerun.go
@@ -1,6 +1,9 @@
 // Package oncerun carries out operations that run at most once: it keeps each
 // one's record in the platform and follows the steps of package once.
 //
+// It owns no record: the object API does. Without it an operation is refused at once.
+// Answers that could not be recorded wait in a bounded ring.
+//
 // # Usage
 //
 //	runner := oncerun.New(oncerun.Options{Objects: client.Objects(), Box: "box-1", Clock: time.Now, Log: log})
--- a/internal/box/probe/probe.go
+++ b/internal/box/probe/probe.go
@@ -3,6 +3,9 @@
 // target's time than the box's share of the budget: the greatest cost is
 // reserved before the probe is sent, and the probe is cut off at that cost.
 //
+// It owns the box's share of each target's budget. It relies on homes to say which
+// targets need measuring.
+//
 // # Usage
 //
 //	p := probe.New(probe.Options{Home: home, MaxBoxes: 18, Clock: time.Now})
--- a/internal/box/submit/submit.go
+++ b/internal/box/submit/submit.go
@@ -2,6 +2,8 @@
 // conditional update, and settled by the submission's id when an answer is
 // lost. The command line and the administration API both use it.
 //
+// It owns the order of check, write and settlement. It relies on the object API alone.
+//
 // # Usage
 //
 //	name, err := submit.Check(envelope.Service, raw)
--- a/internal/box/telemetry/telemetry.go
+++ b/internal/box/telemetry/telemetry.go
@@ -1,5 +1,8 @@
 // Package telemetry sets up a box's metrics and traces by OpenTelemetry.
 //
+// It owns the names of metrics and spans, which operators use. It relies on nothing to
+// take them.
+//
 // # Usage
 //
 //	t, err := telemetry.New(telemetry.Options{Box: "box-1", Traces: os.Stdout})
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -17,14 +17,14 @@
 		best := b.probeRound(ctx, req, svc, req.avoid, localOnly)
 		if ctx.Err() != nil {
 			b.release(best)
-			return nil, ended(ctx)
+			return nil, failureOf(ctx)
 		}
 		decision := b.decide(req, svc, deadlines, best, localOnly)
 		if decision.Action() == placement.Take {
 			return best, nil
 		}
 		b.release(best)
-		if failure := refusalOf(decision); failure != nil {
+		if failure := decision.Refusal(); failure != nil {
 			return nil, failure
 		}
 		if decision.Action() == placement.Fallback {
@@ -32,7 +32,7 @@
 		}
 		req.waits++
 		if !pause.For(ctx, placement.Pause(req.route.Objective)) {
-			return nil, ended(ctx)
+			return nil, failureOf(ctx)
 		}
 	}
 }
@@ -66,18 +66,6 @@
 	return decision
 }
 
-// refusalOf is the failure of a decision that refuses the request; nil of others.
-func refusalOf(d placement.Decision) *verdict.Error {
-	switch d.Action() {
-	case placement.RefuseNoTarget:
-		return verdict.New(verdict.NotRun, verdict.ReasonNoTarget, "no target of the service is known")
-	case placement.RefuseFull:
-		return verdict.New(verdict.NotRun, verdict.ReasonTooLate, "every target asked is too full to answer in time")
-	default:
-		return nil
-	}
-}
-
 // fallback takes any target that can be reached.
 func (b *balancer) fallback(ctx context.Context, req *request, svc *service) (*candidate, *verdict.Error) {
 	local, remote := b.order(req, svc, req.avoid)
@@ -85,13 +73,13 @@
 		return reached, nil
 	}
 	if ctx.Err() != nil {
-		return nil, ended(ctx)
+		return nil, failureOf(ctx)
 	}
 	return nil, verdict.New(verdict.NotRun, verdict.ReasonUnreachable, "no target could be reached")
 }
 
-// ended is why a context ended while no send was under way.
-func ended(ctx context.Context) *verdict.Error {
+// failureOf is why a context ended while no send was under way.
+func failureOf(ctx context.Context) *verdict.Error {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return verdict.New(verdict.NotRun, verdict.ReasonTooLate, "the deadline passed before a target was found")
 	}
--- a/internal/gateway/forward/service.go
+++ b/internal/gateway/forward/service.go
@@ -111,15 +111,15 @@
 	s.log.Info("second sends", "service", s.name, "spent", exhausted, "used", s.budget.Used(), "allowed", s.budget.Allowed())
 }
 
-// began notes that a send to a target has begun.
-func (s *service) began(id string) {
+// beginSend notes that a send to a target has begun.
+func (s *service) beginSend(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active[id]++
 }
 
-// ended notes how a send to a target ended.
-func (s *service) ended(now time.Time, id string, o outcome.Outcome) {
+// endSend notes how a send to a target ended.
+func (s *service) endSend(now time.Time, id string, o outcome.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active[id]--
