--- a/internal/gateway/forward/answer.go
+++ b/internal/gateway/forward/answer.go
@@ -11,21 +11,21 @@
 
 // pass gives the client a target's answer.
 func (h *Handler) pass(w http.ResponseWriter, req *request, a *upstream.Answer) {
-	headers.RemoveHopByHop(a.Header)
+	headers.RemoveHopByHop(a.Header())
 	out := w.Header()
-	for name, values := range a.Header {
+	for name, values := range a.Header() {
 		out[name] = values
 	}
 	out.Del(h.options.Names.Load)
 	if req.in.Method != http.MethodHead {
-		out.Set("Content-Length", strconv.Itoa(len(a.Body)))
+		out.Set("Content-Length", strconv.Itoa(len(a.Body())))
 	}
-	w.WriteHeader(a.Status)
-	if _, err := w.Write(a.Body); err != nil {
+	w.WriteHeader(a.Status())
+	if _, err := w.Write(a.Body()); err != nil {
 		// The client has left: the request's line tells what it was to get.
 		h.options.Log.Debug("answer not taken", "request", req.id, "error", err.Error())
 	}
-	h.report(req, a.Status, nil)
+	h.report(req, a.Status(), nil)
 }
 
 // refuse gives the client an answer of the gateway's own. A client that has left
--- a/internal/gateway/forward/probe.go
+++ b/internal/gateway/forward/probe.go
@@ -122,9 +122,10 @@
 		}
 		return nil
 	}
-	svc.probeAnswered(health.HasLoad)
+	report, hasReport := health.Load()
+	svc.probeAnswered(hasReport)
 	c := &candidate{target: target, conn: conn, Candidate: placement.Candidate{
-		Report: health.Load, HasReport: health.HasLoad, Healthy: health.Healthy,
+		Report: report, HasReport: hasReport, Healthy: health.Healthy(),
 		Local: target.Hall == b.options.Hall, Predicted: svc.usual(req.route),
 	}}
 	if c.HasReport {
@@ -160,7 +161,7 @@
 	switch {
 	case err != nil:
 		return probeFailed
-	case h.Healthy:
+	case h.Healthy():
 		return probeWell
 	default:
 		return probeIll
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -27,7 +27,7 @@
 	if s.failure != nil && !s.outcome.HasOwnAnswer() {
 		return string(s.failure.Reason())
 	}
-	return strconv.Itoa(s.answer.Status)
+	return strconv.Itoa(s.answer.Status())
 }
 
 // send makes one send and learns from how it ended.
@@ -40,7 +40,7 @@
 	now := b.options.Clock()
 	svc.endSend(now, chosen.target.ID, result.outcome)
 	if result.outcome == outcome.Served {
-		svc.answered(req.route, estimate.Answer{Took: now.Sub(began), Bytes: len(result.answer.Body), Report: chosen.Report})
+		svc.answered(req.route, estimate.Answer{Took: now.Sub(began), Bytes: len(result.answer.Body()), Report: chosen.Report})
 	}
 	req.sendLog.add(describe(chosen, began, now, result.name()))
 	b.options.Metrics.Send(req.service, result.name(), first)
@@ -52,7 +52,7 @@
 	if failure != nil {
 		return sent{outcome: outcome.OfFailure(failure), failure: failure}
 	}
-	ended := outcome.OfAnswer(answer.Status, answer.NotRun)
+	ended := outcome.OfAnswer(answer.Status(), answer.NotRun())
 	return sent{outcome: ended, answer: answer, failure: ended.Failure()}
 }
 
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -39,14 +39,25 @@
 
 // Answer is a target's whole answer.
 type Answer struct {
-	Status int
-	Header http.Header
-	Body   []byte
-	// NotRun says that the answer bears the target's promise that it did not run
-	// the request.
-	NotRun bool
+	status int
+	header http.Header
+	body   []byte
+	notRun bool
 }
 
+// Status is the HTTP status.
+func (a *Answer) Status() int { return a.status }
+
+// Header holds the headers as the target sent them; the caller may change them.
+func (a *Answer) Header() http.Header { return a.header }
+
+// Body is the body, whole and decoded from its framing.
+func (a *Answer) Body() []byte { return a.body }
+
+// NotRun says that the answer bears the target's promise that it did not run the
+// request.
+func (a *Answer) NotRun() bool { return a.notRun }
+
 var (
 	errSurplus = errors.New("too many answers of other requests lay on the connection")
 	errUnnamed = errors.New("the answer does not name its request")
@@ -125,8 +136,8 @@
 		if mine {
 			c.learnIdle(response.Header)
 			answer := &Answer{
-				Status: response.StatusCode, Header: response.Header, Body: body,
-				NotRun: response.Header.Get(names.NotRun) != "",
+				status: response.StatusCode, header: response.Header, body: body,
+				notRun: response.Header.Get(names.NotRun) != "",
 			}
 			return answer, framed, nil
 		}
--- a/internal/gateway/upstream/probe.go
+++ b/internal/gateway/upstream/probe.go
@@ -14,13 +14,17 @@
 
 // Health is what a target says of itself.
 type Health struct {
-	// Healthy says whether it answered that it is well.
-	Healthy bool
-	// Load is its load, where HasLoad says that it reported one.
-	Load    load.Report
-	HasLoad bool
+	healthy bool
+	load    load.Report
+	hasLoad bool
 }
 
+// Healthy says whether the target answered that it is well.
+func (h Health) Healthy() bool { return h.healthy }
+
+// Load is the load that the target reported; ok is false if it reported none.
+func (h Health) Load() (report load.Report, ok bool) { return h.load, h.hasLoad }
+
 // Probe asks the target for its health and load; it ends within the given time.
 func (c *Conn) Probe(path string, within time.Duration) (Health, error) {
 	c.exchanges++
@@ -46,9 +50,9 @@
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	c.learnIdle(response.Header)
 	c.reusable = c.net.SetDeadline(time.Time{}) == nil && framed && !response.Close && c.reader.Buffered() == 0
-	h := Health{Healthy: response.StatusCode == http.StatusOK}
+	h := Health{healthy: response.StatusCode == http.StatusOK}
 	if report, err := load.Parse(response.Header.Get(names.Load), c.pool.options.Clock()); err == nil {
-		h.Load, h.HasLoad = report, true
+		h.load, h.hasLoad = report, true
 	}
 	return h, nil
 }
--- a/internal/gateway/upstream/upstream_test.go
+++ b/internal/gateway/upstream/upstream_test.go
@@ -101,7 +101,7 @@
 	for _, id := range []string{"one", "two"} {
 		a, failure := exchange(t, pool, s, request(id))
 		g.Expect(failure).To(BeNil())
-		g.Expect(string(a.Body)).To(Equal("hello"))
+		g.Expect(string(a.Body())).To(Equal("hello"))
 	}
 	g.Expect(s.accepted.Load()).To(Equal(int32(1)))
 }
@@ -133,8 +133,8 @@
 				for _, id := range []string{"one", "two", "three"} {
 					a, failure := exchange(t, pool, s, request(id))
 					if failure == nil {
-						g.Expect(string(a.Body)).To(Equal("own"), id)
-						g.Expect(a.Header.Get(names.RequestID)).To(Equal(id))
+						g.Expect(string(a.Body())).To(Equal("own"), id)
+						g.Expect(a.Header().Get(names.RequestID)).To(Equal(id))
 					}
 				}
 			})
@@ -154,7 +154,7 @@
 	for _, id := range []string{"one", "two"} {
 		a, failure := exchange(t, pool, s, request(id))
 		g.Expect(failure).To(BeNil())
-		g.Expect(string(a.Body)).To(Equal("own"))
+		g.Expect(string(a.Body())).To(Equal("own"))
 	}
 }
 
@@ -200,7 +200,7 @@
 				return
 			}
 			g.Expect(failure).To(BeNil())
-			g.Expect(string(a.Body)).To(Equal("all of it"))
+			g.Expect(string(a.Body())).To(Equal("all of it"))
 		})
 	}
 }
@@ -255,7 +255,7 @@
 	long := upstream.Request{Method: http.MethodPost, URI: "/", Host: "h", ID: "one", Header: http.Header{}, Body: []byte(strings.Repeat("a", 4<<20))}
 	a, failure := exchange(t, pool, s, long)
 	g.Expect(failure).To(BeNil())
-	g.Expect(a.Status).To(Equal(http.StatusServiceUnavailable))
+	g.Expect(a.Status()).To(Equal(http.StatusServiceUnavailable))
 	_, failure = exchange(t, pool, s, request("two"))
 	g.Expect(failure).To(BeNil())
 	var first string
@@ -316,10 +316,11 @@
 			defer pool.Put(conn)
 			health, err := conn.Probe("/health", 5*time.Second)
 			g.Expect(err != nil).To(Equal(c.fails))
-			g.Expect(health.Healthy).To(Equal(c.well))
-			g.Expect(health.HasLoad).To(Equal(c.well))
+			g.Expect(health.Healthy()).To(Equal(c.well))
+			report, ok := health.Load()
+			g.Expect(ok).To(Equal(c.well))
 			if c.well {
-				g.Expect(health.Load.Slowness()).To(Equal(5.0))
+				g.Expect(report.Slowness()).To(Equal(5.0))
 			}
 		})
 	}
@@ -345,7 +346,7 @@
 		}
 		answer, failure := conn.Exchange(context.Background(), request("one"))
 		if failure == nil {
-			if id := answer.Header.Get(names.RequestID); id != "one" && id != "" {
+			if id := answer.Header().Get(names.RequestID); id != "one" && id != "" {
 				t.Fatalf("gave out the answer of %q", id)
 			}
 		}
