--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -167,7 +167,7 @@
 }
 
 func readBody(r *http.Response, most int64) ([]byte, error) {
-	defer func() { _ = r.Body.Close() }()
+	defer func() { _ = r.Body.Close() }() // reading it tells whether it is whole
 	if r.Body == http.NoBody {
 		return nil, nil
 	}
