--- a/core/gateway/budget/budget_test.go
+++ b/core/gateway/budget/budget_test.go
@@ -1,6 +1,7 @@
 package budget_test
 
 import (
+	"fmt"
 	"testing"
 	"time"
 	"unsafe"
@@ -85,3 +86,13 @@
 	}
 	return n
 }
+
+func ExampleWindow() {
+	now := time.Unix(1000, 0)
+	b := budget.New(10*time.Second, 0.2, 1)
+	for range 5 {
+		b.Request(now)
+	}
+	fmt.Println(b.Spend(now, 1), b.Spend(now, 1), b.Spend(now, 1))
+	// Output: true true false
+}
--- a/core/gateway/catalog/catalog_test.go
+++ b/core/gateway/catalog/catalog_test.go
@@ -95,3 +95,12 @@
 		g.Expect(follower.Config()).To(Equal(reader.Config()))
 	})
 }
+
+func ExampleCatalog_Since() {
+	c := catalog.New()
+	c.Replace(530, []catalog.Target{{ID: "i-1"}, {ID: "i-2"}})
+	c.Advance(533, []catalog.Change{{Revision: 533, Target: catalog.Target{ID: "i-2"}, Gone: true}})
+	delta := c.Since(catalog.Position{Targets: 530})
+	fmt.Println(delta.To.Targets, delta.Whole, len(delta.Changes))
+	// Output: 533 false 1
+}
--- a/core/gateway/routing/routing_test.go
+++ b/core/gateway/routing/routing_test.go
@@ -1,6 +1,7 @@
 package routing_test
 
 import (
+	"fmt"
 	"testing"
 
 	. "github.com/onsi/gomega"
@@ -53,3 +54,13 @@
 	g.Expect((&routing.Route{}).Pick(0.5)).To(BeEmpty())
 	g.Expect(route.Pick(1)).NotTo(BeEmpty())
 }
+
+func ExampleTable_Match() {
+	table := routing.New(routing.Config{Version: 7, Routes: []routing.Route{
+		{Name: "all", Host: "shop.example", Prefix: "/"},
+		{Name: "orders", Host: "shop.example", Prefix: "/orders/"},
+	}})
+	route, ok := table.Match("shop.example:8080", "/orders/7")
+	fmt.Println(route.Name, ok)
+	// Output: orders true
+}
--- a/internal/gateway/forward/hedge.go
+++ b/internal/gateway/forward/hedge.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// pause waits and says whether a hedge may still be of use.
+// pause waits and says whether a hedge may still be of use: unlike pause.For it also
+// ends with the first send, which must not cancel a hedge that was sent.
 func (r *race) pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
