--- a/box/admin.go
+++ b/box/admin.go
@@ -8,9 +8,9 @@
 	"github.com/labstack/echo/v4"
 
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/internal/envelope"
-	"github.com/sprucecrank/sprucecrank/internal/home"
-	"github.com/sprucecrank/sprucecrank/internal/probe"
+	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
+	"github.com/sprucecrank/sprucecrank/internal/box/home"
+	"github.com/sprucecrank/sprucecrank/internal/box/probe"
 	"github.com/sprucecrank/sprucecrank/policy"
 )
 
--- a/box/compile.go
+++ b/box/compile.go
@@ -5,9 +5,9 @@
 	"strings"
 	"sync"
 
-	"github.com/sprucecrank/sprucecrank/core/accepted"
-	"github.com/sprucecrank/sprucecrank/internal/entry"
-	"github.com/sprucecrank/sprucecrank/internal/envelope"
+	"github.com/sprucecrank/sprucecrank/core/box/accepted"
+	"github.com/sprucecrank/sprucecrank/internal/box/entry"
+	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
 	"github.com/sprucecrank/sprucecrank/policy"
 )
 
--- a/box/objects.go
+++ b/box/objects.go
@@ -9,8 +9,8 @@
 	"github.com/google/uuid"
 	"github.com/labstack/echo/v4"
 
-	"github.com/sprucecrank/sprucecrank/internal/envelope"
-	"github.com/sprucecrank/sprucecrank/internal/submit"
+	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
+	"github.com/sprucecrank/sprucecrank/internal/box/submit"
 	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/store"
 )
--- a/peer/peer.go
+++ b/box/peer/peer.go
@@ -13,8 +13,8 @@
 import (
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/accepted"
-	"github.com/sprucecrank/sprucecrank/core/ledger"
+	"github.com/sprucecrank/sprucecrank/core/box/accepted"
+	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
--- a/box/run.go
+++ b/box/run.go
@@ -10,8 +10,8 @@
 	"github.com/labstack/echo/v4"
 	"github.com/oklog/run"
 
+	"github.com/sprucecrank/sprucecrank/internal/box/oncerun"
 	"github.com/sprucecrank/sprucecrank/internal/lifecycle"
-	"github.com/sprucecrank/sprucecrank/internal/oncerun"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
 
--- a/cmd/sprucecrank-box/main.go
+++ b/cmd/sprucecrank-box/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"github.com/sprucecrank/sprucecrank/internal/daemon"
+	"github.com/sprucecrank/sprucecrank/internal/box/daemon"
 )
 
 func main() {
--- a/cmd/sprucecrank-gateway/main.go
+++ b/cmd/sprucecrank-gateway/main.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/sprucecrank/sprucecrank/gateway"
-	"github.com/sprucecrank/sprucecrank/internal/logging"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/logging"
 	"github.com/sprucecrank/sprucecrank/platform"
 )
 
--- a/core/ledger/ledger.go
+++ b/core/box/ledger/ledger.go
@@ -18,7 +18,7 @@
 import (
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/health"
+	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/core/ledger/targets.go
+++ b/core/box/ledger/targets.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/health"
+	"github.com/sprucecrank/sprucecrank/core/box/health"
 )
 
 // sawStart notes a target's start number. A greater one is a new life: cold,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,14 +24,14 @@
 	"github.com/gravitational/trace"
 	"github.com/oklog/run"
 
+	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/core/routing"
-	"github.com/sprucecrank/sprucecrank/internal/feed"
-	"github.com/sprucecrank/sprucecrank/internal/forward"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/feed"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/forward"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/lifecycle"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 	"github.com/sprucecrank/sprucecrank/internal/telemetry"
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
 )
 
 // Source reads the store; see feed.Source.
--- a/internal/entry/handler.go
+++ b/internal/box/entry/handler.go
@@ -23,8 +23,8 @@
 	"github.com/google/uuid"
 	"go.opentelemetry.io/otel/attribute"
 
-	"github.com/sprucecrank/sprucecrank/internal/grant"
-	"github.com/sprucecrank/sprucecrank/internal/oncerun"
+	"github.com/sprucecrank/sprucecrank/internal/box/grant"
+	"github.com/sprucecrank/sprucecrank/internal/box/oncerun"
 	"github.com/sprucecrank/sprucecrank/internal/telemetry"
 	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
--- a/internal/entry/once.go
+++ b/internal/box/entry/once.go
@@ -6,11 +6,11 @@
 	"net/http"
 	"strconv"
 
-	"github.com/sprucecrank/sprucecrank/core/health"
-	"github.com/sprucecrank/sprucecrank/core/ledger"
-	"github.com/sprucecrank/sprucecrank/core/once"
-	"github.com/sprucecrank/sprucecrank/internal/grant"
-	"github.com/sprucecrank/sprucecrank/internal/oncerun"
+	"github.com/sprucecrank/sprucecrank/core/box/health"
+	"github.com/sprucecrank/sprucecrank/core/box/ledger"
+	"github.com/sprucecrank/sprucecrank/core/box/once"
+	"github.com/sprucecrank/sprucecrank/internal/box/grant"
+	"github.com/sprucecrank/sprucecrank/internal/box/oncerun"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/entry/relay.go
+++ b/internal/box/entry/relay.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"sync"
 
-	"github.com/sprucecrank/sprucecrank/core/health"
+	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/follow/news.go
+++ b/internal/box/follow/news.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
+	"github.com/sprucecrank/sprucecrank/box/peer"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/peer"
 	"github.com/sprucecrank/sprucecrank/store"
 )
 
--- a/internal/grant/holds.go
+++ b/internal/box/grant/holds.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/ledger"
+	"github.com/sprucecrank/sprucecrank/box/peer"
+	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/peer"
 	"github.com/sprucecrank/sprucecrank/policy"
 )
 
--- a/internal/grant/members.go
+++ b/internal/box/grant/members.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/box/peer"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/peer"
 )
 
 // Members is the box's view of the others, with a link to each. It is safe for
--- a/internal/grant/returns.go
+++ b/internal/box/grant/returns.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"github.com/sprucecrank/sprucecrank/core/health"
-	"github.com/sprucecrank/sprucecrank/core/ledger"
-	"github.com/sprucecrank/sprucecrank/peer"
+	"github.com/sprucecrank/sprucecrank/box/peer"
+	"github.com/sprucecrank/sprucecrank/core/box/health"
+	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 )
 
 // Release gives a slot back with its outcome, to the home that granted it and
--- a/internal/home/home.go
+++ b/internal/box/home/home.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/health"
-	"github.com/sprucecrank/sprucecrank/core/ledger"
+	"github.com/sprucecrank/sprucecrank/core/box/health"
+	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
--- a/internal/oncerun/clean.go
+++ b/internal/box/oncerun/clean.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/once"
+	"github.com/sprucecrank/sprucecrank/core/box/once"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 	"github.com/sprucecrank/sprucecrank/store"
 )
--- a/internal/submit/submit.go
+++ b/internal/box/submit/submit.go
@@ -15,7 +15,7 @@
 	"fmt"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/internal/envelope"
+	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
 	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/store"
 )
--- a/internal/cli/explaincmd/explaincmd.go
+++ b/internal/cli/explaincmd/explaincmd.go
@@ -16,7 +16,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
-	"github.com/sprucecrank/sprucecrank/internal/story"
+	"github.com/sprucecrank/sprucecrank/internal/cli/story"
 )
 
 type options struct {
--- a/internal/cli/object/history.go
+++ b/internal/cli/object/history.go
@@ -8,8 +8,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
-	"github.com/sprucecrank/sprucecrank/internal/envelope"
 )
 
 type historyOptions struct {
--- a/internal/cli/object/object.go
+++ b/internal/cli/object/object.go
@@ -13,9 +13,9 @@
 
 	"github.com/urfave/cli/v3"
 
+	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
+	"github.com/sprucecrank/sprucecrank/internal/box/submit"
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
-	"github.com/sprucecrank/sprucecrank/internal/envelope"
-	"github.com/sprucecrank/sprucecrank/internal/submit"
 )
 
 // NewCommand makes the command of a noun with its verbs.
--- a/internal/cli/oncecmd/show.go
+++ b/internal/cli/oncecmd/show.go
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/sprucecrank/sprucecrank/core/once"
+	"github.com/sprucecrank/sprucecrank/core/box/once"
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
 	"github.com/sprucecrank/sprucecrank/store"
 )
--- a/internal/cli/root/root.go
+++ b/internal/cli/root/root.go
@@ -12,6 +12,7 @@
 
 	"github.com/urfave/cli/v3"
 
+	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
 	"github.com/sprucecrank/sprucecrank/internal/cli/boxcmd"
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
 	"github.com/sprucecrank/sprucecrank/internal/cli/configcmd"
@@ -20,7 +21,6 @@
 	"github.com/sprucecrank/sprucecrank/internal/cli/oncecmd"
 	"github.com/sprucecrank/sprucecrank/internal/cli/status"
 	"github.com/sprucecrank/sprucecrank/internal/cli/versioncmd"
-	"github.com/sprucecrank/sprucecrank/internal/envelope"
 )
 
 // Version is set when a release is built.
--- a/internal/story/story.go
+++ b/internal/cli/story/story.go
@@ -18,7 +18,7 @@
 	"strconv"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/internal/forward"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/forward"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/feed/feed.go
+++ b/internal/gateway/feed/feed.go
@@ -23,10 +23,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/core/routing"
-	"github.com/sprucecrank/sprucecrank/internal/forward"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/forward"
 	"github.com/sprucecrank/sprucecrank/internal/telemetry"
 )
 
--- a/internal/feed/follow.go
+++ b/internal/gateway/feed/follow.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
--- a/internal/feed/read.go
+++ b/internal/gateway/feed/read.go
@@ -8,7 +8,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"github.com/sprucecrank/sprucecrank/core/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 	"github.com/sprucecrank/sprucecrank/store"
 )
--- a/internal/forward/ask.go
+++ b/internal/gateway/forward/ask.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/catalog"
-	"github.com/sprucecrank/sprucecrank/core/choice"
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 )
 
 const (
--- a/internal/forward/balancer.go
+++ b/internal/gateway/forward/balancer.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/headers"
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -21,11 +21,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/catalog"
-	"github.com/sprucecrank/sprucecrank/core/routing"
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/headers"
 	"github.com/sprucecrank/sprucecrank/internal/telemetry"
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/forward/hedge.go
+++ b/internal/gateway/forward/hedge.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/forward/learning.go
+++ b/internal/gateway/forward/learning.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/choice"
-	"github.com/sprucecrank/sprucecrank/core/routing"
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
+	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 )
 
 const (
--- a/internal/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/catalog"
-	"github.com/sprucecrank/sprucecrank/core/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/forward/sendlog.go
+++ b/internal/gateway/forward/sendlog.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/internal/upstream"
+	"github.com/sprucecrank/sprucecrank/internal/gateway/upstream"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/choice"
+	"github.com/sprucecrank/sprucecrank/core/gateway/choice"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -23,7 +23,7 @@
 	"syscall"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/core/catalog"
+	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 	"github.com/sprucecrank/sprucecrank/internal/headers"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
