--- a/box/admin.go
+++ b/box/admin.go
@@ -7,11 +7,11 @@
 
 	"github.com/labstack/echo/v4"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
 	"github.com/sprucecrank/sprucecrank/internal/box/probe"
-	"github.com/sprucecrank/sprucecrank/policy"
 )
 
 // Status is what a box tells operators of itself.
--- a/box/box.go
+++ b/box/box.go
@@ -23,6 +23,8 @@
 	"github.com/gravitational/trace"
 
 	"github.com/sprucecrank/sprucecrank/box/peer"
+	"github.com/sprucecrank/sprucecrank/box/policy"
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/core/box/accepted"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/box/entry"
@@ -32,8 +34,6 @@
 	"github.com/sprucecrank/sprucecrank/internal/box/oncerun"
 	"github.com/sprucecrank/sprucecrank/internal/box/probe"
 	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
-	"github.com/sprucecrank/sprucecrank/policy"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 // Options are what a box takes from its process; zero values are the real ones.
--- a/box/compile.go
+++ b/box/compile.go
@@ -5,10 +5,10 @@
 	"strings"
 	"sync"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/core/box/accepted"
 	"github.com/sprucecrank/sprucecrank/internal/box/entry"
 	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
-	"github.com/sprucecrank/sprucecrank/policy"
 )
 
 // compiler turns accepted objects into routes. It keeps what it compiled, so
--- a/box/objects.go
+++ b/box/objects.go
@@ -9,10 +9,10 @@
 	"github.com/google/uuid"
 	"github.com/labstack/echo/v4"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
 	"github.com/sprucecrank/sprucecrank/internal/box/submit"
-	"github.com/sprucecrank/sprucecrank/policy"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 // HeaderOperator names who makes a change through the administration API.
--- a/box/settings.go
+++ b/box/settings.go
@@ -4,7 +4,7 @@
 	"net"
 	"os"
 
-	"github.com/sprucecrank/sprucecrank/policy"
+	"github.com/sprucecrank/sprucecrank/box/policy"
 )
 
 // Settings are a box's settings file, in JSON. Unknown fields are refused.
--- a/internal/box/entry/handler.go
+++ b/internal/box/entry/handler.go
@@ -23,10 +23,10 @@
 	"github.com/google/uuid"
 	"go.opentelemetry.io/otel/attribute"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/internal/box/grant"
 	"github.com/sprucecrank/sprucecrank/internal/box/oncerun"
 	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
-	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/box/entry/routes.go
+++ b/internal/box/entry/routes.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"github.com/sprucecrank/sprucecrank/policy"
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/box/entry/send.go
+++ b/internal/box/entry/send.go
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
-	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/box/follow/follow.go
+++ b/internal/box/follow/follow.go
@@ -21,13 +21,13 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"github.com/sprucecrank/sprucecrank/box/peer"
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/core/box/accepted"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
 	"github.com/sprucecrank/sprucecrank/internal/box/grant"
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 const (
--- a/internal/box/follow/news.go
+++ b/internal/box/follow/news.go
@@ -4,9 +4,9 @@
 	"context"
 
 	"github.com/sprucecrank/sprucecrank/box/peer"
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 // Exchanger is the duty that swaps news with a few peers at a time. The news
--- a/internal/box/grant/grant.go
+++ b/internal/box/grant/grant.go
@@ -18,12 +18,12 @@
 	"github.com/google/uuid"
 
 	"github.com/sprucecrank/sprucecrank/box/peer"
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/box/ring"
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/core/member"
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
-	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/box/grant/holds.go
+++ b/internal/box/grant/holds.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/sprucecrank/sprucecrank/box/peer"
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/core/member"
-	"github.com/sprucecrank/sprucecrank/policy"
 )
 
 func (b *Broker) hold(s *Slot, kind string) {
--- a/internal/box/home/home.go
+++ b/internal/box/home/home.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
-	"github.com/sprucecrank/sprucecrank/policy"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/box/oncerun/clean.go
+++ b/internal/box/oncerun/clean.go
@@ -5,9 +5,9 @@
 	"log/slog"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/core/box/once"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 const (
--- a/internal/box/oncerun/oncerun.go
+++ b/internal/box/oncerun/oncerun.go
@@ -18,11 +18,11 @@
 	"github.com/google/uuid"
 
 	"github.com/sprucecrank/sprucecrank/box/ring"
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 	"github.com/sprucecrank/sprucecrank/core/box/once"
 	"github.com/sprucecrank/sprucecrank/internal/box/grant"
-	"github.com/sprucecrank/sprucecrank/store"
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
--- a/internal/box/probe/probe.go
+++ b/internal/box/probe/probe.go
@@ -18,6 +18,7 @@
 	"sync"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
 	"github.com/sprucecrank/sprucecrank/core/box/budget"
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
@@ -25,7 +26,6 @@
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
 	"github.com/sprucecrank/sprucecrank/internal/box/telemetry"
 	"github.com/sprucecrank/sprucecrank/internal/pause"
-	"github.com/sprucecrank/sprucecrank/policy"
 )
 
 const (
--- a/internal/box/submit/submit.go
+++ b/internal/box/submit/submit.go
@@ -15,9 +15,9 @@
 	"fmt"
 	"time"
 
+	"github.com/sprucecrank/sprucecrank/box/policy"
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/internal/box/envelope"
-	"github.com/sprucecrank/sprucecrank/policy"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 // patience is how long a submission is settled for.
--- a/internal/cli/boxcmd/boxcmd.go
+++ b/internal/cli/boxcmd/boxcmd.go
@@ -11,8 +11,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 // NewCommand makes the box command with its verbs.
--- a/internal/cli/cmdutil/cmdutil.go
+++ b/internal/cli/cmdutil/cmdutil.go
@@ -22,7 +22,7 @@
 
 	"github.com/google/uuid"
 
-	"github.com/sprucecrank/sprucecrank/store"
+	"github.com/sprucecrank/sprucecrank/box/store"
 )
 
 // Streams are where a command reads and writes.
--- a/internal/cli/oncecmd/show.go
+++ b/internal/cli/oncecmd/show.go
@@ -14,9 +14,9 @@
 
 	"github.com/urfave/cli/v3"
 
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/core/box/once"
 	"github.com/sprucecrank/sprucecrank/internal/cli/cmdutil"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 // NewCommand makes the once command with its verbs.
--- a/internal/standin/platformsim/server.go
+++ b/internal/standin/platformsim/server.go
@@ -13,7 +13,7 @@
 	"github.com/labstack/echo/v4"
 	"golang.org/x/time/rate"
 
-	"github.com/sprucecrank/sprucecrank/store"
+	"github.com/sprucecrank/sprucecrank/box/store"
 )
 
 // The platform's limits, from the users' brief.
--- a/internal/standin/platformsim/store.go
+++ b/internal/standin/platformsim/store.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/sprucecrank/sprucecrank/store"
+	"github.com/sprucecrank/sprucecrank/box/store"
 )
 
 // maxEvents is how many events are kept for watches.
--- a/internal/standin/standincmd/standincmd.go
+++ b/internal/standin/standincmd/standincmd.go
@@ -21,10 +21,10 @@
 	"github.com/google/uuid"
 	"github.com/urfave/cli/v3"
 
+	"github.com/sprucecrank/sprucecrank/box/store"
 	"github.com/sprucecrank/sprucecrank/internal/standin/load"
 	"github.com/sprucecrank/sprucecrank/internal/standin/platformsim"
 	"github.com/sprucecrank/sprucecrank/internal/standin/targetsim"
-	"github.com/sprucecrank/sprucecrank/store"
 )
 
 const shutdownWithin = 30 * time.Second
