--- a/core/gateway/rollout/assign.go
+++ b/core/gateway/rollout/assign.go
@@ -9,8 +9,8 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// Whole is the share of all requests, in thousandths.
-const Whole = 1000
+// FullShare is the share of all requests, in thousandths.
+const FullShare = 1000
 
 // Assignment is which targets of a service take requests while one of its versions is on
 // trial.
@@ -44,16 +44,16 @@
 	if r.State != catalog.RolloutRunning || len(canary) == 0 {
 		return a
 	}
-	a.permille = min(r.Permille, Whole)
-	a.canary = rank(r, canary)[:chosen(a.permille, len(canary))]
-	if a.permille == Whole {
+	a.permille = min(r.Permille, FullShare)
+	a.canary = rank(r, canary)[:canarySize(a.permille, len(canary))]
+	if a.permille == FullShare {
 		a.baseline = nil
 	}
 	return a
 }
 
-// chosen is how many of a version's targets take its share.
-func chosen(permille, targets int) int { return (permille*targets + Whole - 1) / Whole }
+// canarySize is how many of a version's targets take its share.
+func canarySize(permille, targets int) int { return (permille*targets + FullShare - 1) / FullShare }
 
 // rank orders targets by a hash of their id with the order, the same for all gateways
 // (rendezvous hashing).
@@ -80,8 +80,8 @@
 func (a Assignment) Rollout() catalog.Rollout { return a.rollout }
 
 // TakesCanary says whether the canary takes a request, by a draw uniform in [0, 1).
-func (a Assignment) TakesCanary(draw float64) bool { return draw*Whole < float64(a.permille) }
+func (a Assignment) TakesCanary(draw float64) bool { return draw*FullShare < float64(a.permille) }
 
 // TakesAll says whether the ordered version takes all requests, repeats and hedges as
 // well, though the rollout is not completed.
-func (a Assignment) TakesAll() bool { return a.permille >= Whole }
+func (a Assignment) TakesAll() bool { return a.permille >= FullShare }
--- a/core/gateway/rollout/decide.go
+++ b/core/gateway/rollout/decide.go
@@ -42,13 +42,13 @@
 	BaselineActive int
 }
 
-// Verb is what is to be done.
-type Verb uint8
+// Action is what is to be done.
+type Action uint8
 
 // Verbs of a decision.
 const (
 	// Wait is to record nothing.
-	Wait Verb = iota
+	Wait Action = iota
 	// Advance is to record a greater share.
 	Advance
 	// Complete and RollBack are to record the end.
@@ -57,32 +57,32 @@
 )
 
 // String names a verb as log lines do.
-func (v Verb) String() string { return [...]string{"wait", "advance", "complete", "roll back"}[v] }
+func (v Action) String() string { return [...]string{"wait", "advance", "complete", "roll back"}[v] }
 
 // Reason is why a decision was taken.
 type Reason uint8
 
 // Reasons of decisions.
 const (
-	// ReasonTime is that of waiting for evidence, time or reports.
-	ReasonTime Reason = iota
+	// ReasonPending is that of waiting for evidence, time or reports.
+	ReasonPending Reason = iota
 	// ReasonOrdered is that of the first stage.
 	ReasonOrdered
-	// ReasonSound is that of the next stage: nothing speaks against it.
-	ReasonSound
-	// ReasonMoved is that of completing: the baseline gets nothing any more.
-	ReasonMoved
-	// ReasonLast is that of completing in the last moment in which the time or the exposure
+	// ReasonHealthy is that of the next stage: nothing speaks against it.
+	ReasonHealthy
+	// ReasonTrafficShifted is that of completing: the baseline gets nothing any more.
+	ReasonTrafficShifted
+	// ReasonLimitReached is that of completing in the last moment in which the time or the exposure
 	// allows it: sends to the baseline may be under way, and are cut with its targets.
-	ReasonLast
+	ReasonLimitReached
 	// ReasonInService is that of completing at once: the version is in service already.
 	ReasonInService
 	// ReasonFailures and ReasonSlow are those of rolling back by comparison.
 	ReasonFailures
 	ReasonSlow
-	// ReasonDoubt is that of rolling back where the version is not proved in time, and
+	// ReasonInconclusive is that of rolling back where the version is not proved in time, and
 	// ReasonDeadline where the order's time is over.
-	ReasonDoubt
+	ReasonInconclusive
 	ReasonDeadline
 	// ReasonNoTargets is that of rolling back where no target of the version is there.
 	ReasonNoTargets
@@ -98,7 +98,7 @@
 
 // Decision is what is to be recorded, and why.
 type Decision struct {
-	Verb Verb
+	Action Action
 	// Permille is the share to record when it is to advance.
 	Permille int
 	Reason   Reason
@@ -126,96 +126,96 @@
 	case s.Age >= s.Order.Within:
 		return d.with(RollBack, ReasonDeadline)
 	case s.Order.State == catalog.RolloutRunning:
-		return s.analyse(d)
-	case s.isLate():
-		return d.with(RollBack, s.doubt())
+		return s.evaluate(d)
+	case s.isTooLateForLastStage():
+		return d.with(RollBack, s.unprovenReason())
 	case s.Canary > 0:
 		return d.advance(s.firstShare(), ReasonOrdered)
 	}
 	return d
 }
 
-// analyse decides on a rollout that runs.
-func (s State) analyse(d Decision) Decision {
-	w := worst(s.Evidence)
-	d.Route, d.Pair, d.Span, d.Statistic, d.Threshold = w.route, w.pair, w.span, w.statistic, s.alarm()
-	sound := s.isSound(w)
+// evaluate decides on a rollout that runs.
+func (s State) evaluate(d Decision) Decision {
+	strongest := strongestFinding(s.Evidence)
+	d.Route, d.Pair, d.Span, d.Statistic, d.Threshold = strongest.route, strongest.pair, strongest.span, strongest.statistic, s.statisticThreshold()
+	healthy := s.isHealthy(strongest)
 	switch {
-	case w.statistic >= d.Threshold:
-		return d.with(RollBack, w.reason)
-	case s.Order.Permille >= Whole:
-		return s.finish(d, sound)
-	case s.isLate() || s.isExposed():
-		return d.with(RollBack, s.doubt())
+	case strongest.statistic >= d.Threshold:
+		return d.with(RollBack, strongest.reason)
+	case s.Order.Permille >= FullShare:
+		return s.decideLastStage(d, healthy)
+	case s.isTooLateForLastStage() || s.isExposureSpent():
+		return d.with(RollBack, s.unprovenReason())
 	}
 	// One that has just taken over has no reports yet.
 	next, reported := s.nextShare(), s.Evidence.Total().sends() > 0
-	if reported && next > s.Order.Permille && (sound || next < Whole && w.statistic < pressingOdds) {
-		return d.advance(next, ReasonSound)
+	if reported && next > s.Order.Permille && (healthy || next < FullShare && strongest.statistic < urgentRollbackRatio) {
+		return d.advance(next, ReasonHealthy)
 	}
 	return d
 }
 
-// isSound says whether the version may take all requests, or be completed: nothing speaks
+// isHealthy says whether the version may take all requests, or be completed: nothing speaks
 // against it since the order; or little does, and nothing since the stage began: in the
 // stage before, the canary may have been so few targets that faulty ones weighed much.
-func (s State) isSound(w finding) bool {
-	if w.statistic < suspectOdds && isTotalSound(s.Evidence, s.Evidence.Routes, soundOdds) {
+func (s State) isHealthy(w finding) bool {
+	if w.statistic < suspectRatio && isTotalHealthy(s.Evidence, s.Evidence.Routes, acceptRatio) {
 		return true
 	}
-	stage := s.Evidence.latest(s.StageAge)
-	return w.statistic < pressingOdds && worst(stage).statistic < suspectOdds &&
-		isTotalSound(stage, s.Evidence.Routes, stageOdds)
+	stage := s.Evidence.within(s.StageAge)
+	return w.statistic < urgentRollbackRatio && strongestFinding(stage).statistic < suspectRatio &&
+		isTotalHealthy(stage, s.Evidence.Routes, stageAcceptRatio)
 }
 
-// alarm is the statistic from which on a version is bad. Less is enough once half the time
+// statisticThreshold is the statistic from which on a version is bad. Less is enough once half the time
 // is over in which it must be rolled back: that time begins with its Slack-th bad answer.
-func (s State) alarm() float64 {
-	if s.Evidence.badBefore(s.Limits.RollBackWithin/2) >= uint64(max(s.Limits.Slack, 1)) {
-		return pressingOdds
+func (s State) statisticThreshold() float64 {
+	if s.Evidence.badResponsesBefore(s.Limits.RollBackWithin/2) >= uint64(max(s.Limits.Slack, 1)) {
+		return urgentRollbackRatio
 	}
-	return alarmOdds
+	return rollbackRatio
 }
 
-// finish decides on the last stage: it ends when the baseline gets nothing any more, or
+// decideLastStage decides on the last stage: it ends when the baseline gets nothing any more, or
 // when waiting longer would expose or delay too much.
-func (s State) finish(d Decision, sound bool) Decision {
-	moved := len(s.Behind) == 0 && s.BaselineActive == 0
-	waited := s.StageAge >= cmp.Or(s.Limits.DrainWait, longestDrain)
-	bounded := s.Age >= latestEnd(s.Order.Within) || s.isExposed()
-	odds := float64(sureRouteOdds)
-	if bounded {
-		odds = routeOdds
+func (s State) decideLastStage(d Decision, healthy bool) Decision {
+	isShifted := len(s.Behind) == 0 && s.BaselineActive == 0
+	drainTimedOut := s.StageAge >= cmp.Or(s.Limits.DrainWait, defaultDrainWait)
+	limitReached := s.Age >= latestEndAge(s.Order.Within) || s.isExposureSpent()
+	minRatio := float64(strictRouteAcceptRatio)
+	if limitReached {
+		minRatio = routeAcceptRatio
 	}
-	sound = sound && areRoutesSound(s.Evidence, odds)
+	healthy = healthy && areRoutesHealthy(s.Evidence, minRatio)
 	switch {
-	case sound && (moved || waited):
-		return d.with(Complete, ReasonMoved)
-	case sound && bounded:
-		return d.with(Complete, ReasonLast)
-	case bounded:
-		return d.with(RollBack, s.doubt())
+	case healthy && (isShifted || drainTimedOut):
+		return d.with(Complete, ReasonTrafficShifted)
+	case healthy && limitReached:
+		return d.with(Complete, ReasonLimitReached)
+	case limitReached:
+		return d.with(RollBack, s.unprovenReason())
 	}
 	return d
 }
 
-// isLate says whether there is no time left for the last stage.
-func (s State) isLate() bool { return s.Age >= latestEnd(s.Order.Within)-lastStage }
+// isTooLateForLastStage says whether there is no time left for the last stage.
+func (s State) isTooLateForLastStage() bool { return s.Age >= latestEndAge(s.Order.Within)-lastStageDuration }
 
-// doubt is why a version is not proved.
-func (s State) doubt() Reason {
+// unprovenReason is why a version is not proved.
+func (s State) unprovenReason() Reason {
 	if s.Canary == 0 {
 		return ReasonNoTargets
 	}
-	return ReasonDoubt
+	return ReasonInconclusive
 }
 
-func (d Decision) with(v Verb, r Reason) Decision {
-	d.Verb, d.Reason = v, r
+func (d Decision) with(action Action, reason Reason) Decision {
+	d.Action, d.Reason = action, reason
 	return d
 }
 
-func (d Decision) advance(permille int, r Reason) Decision {
+func (d Decision) advance(permille int, reason Reason) Decision {
 	d.Permille = permille
-	return d.with(Advance, r)
+	return d.with(Advance, reason)
 }
--- a/core/gateway/rollout/decide_test.go
+++ b/core/gateway/rollout/decide_test.go
@@ -38,42 +38,42 @@
 	for _, c := range []struct {
 		name   string
 		state  State
-		verb   Verb
+		verb   Action
 		reason Reason
 	}{
 		{"ordered", ofOrder(ordered, time.Second), Advance, ReasonOrdered},
-		{"no targets yet", with(ofOrder(ordered, time.Second), func(s *State) { s.Canary = 0 }), Wait, ReasonTime},
+		{"no targets yet", with(ofOrder(ordered, time.Second), func(s *State) { s.Canary = 0 }), Wait, ReasonPending},
 		{"no targets at all", with(ofOrder(ordered, 10*time.Second), func(s *State) { s.Canary = 0 }), RollBack, ReasonNoTargets},
 		{"in service", with(ofOrder(ordered, 0), func(s *State) { s.OnTrial, s.Canary = false, 0 }), Complete, ReasonInService},
 		{"no time at all", with(ofOrder(ordered, 0), func(s *State) { s.Order.Within = 0 }), RollBack, ReasonDeadline},
 		{"past the deadline", ofOrder(running, 13*time.Second), RollBack, ReasonDeadline},
 		{"age not known", ofOrder(running, unknownAge), RollBack, ReasonDeadline},
-		{"early", with(ofOrder(running, 3*time.Second), evidence(answers(100, 0))), Wait, ReasonTime},
-		{"sound", with(ofOrder(running, 7*time.Second), evidence(answers(200, 0))), Advance, ReasonSound},
-		{"nothing reported yet", ofOrder(running, 7*time.Second), Wait, ReasonTime},
-		{"sound but cold", with(ofOrder(running, 7*time.Second), evidence(answers(200, 0)), func(s *State) { s.Warm = 0 }), Wait, ReasonTime},
+		{"early", with(ofOrder(running, 3*time.Second), evidence(answers(100, 0))), Wait, ReasonPending},
+		{"sound", with(ofOrder(running, 7*time.Second), evidence(answers(200, 0))), Advance, ReasonHealthy},
+		{"nothing reported yet", ofOrder(running, 7*time.Second), Wait, ReasonPending},
+		{"sound but cold", with(ofOrder(running, 7*time.Second), evidence(answers(200, 0)), func(s *State) { s.Warm = 0 }), Wait, ReasonPending},
 		{"failing", with(ofOrder(running, 3*time.Second), evidence(answers(20, 8))), RollBack, ReasonFailures},
-		{"few answers, late", with(ofOrder(running, 10*time.Second), evidence(answers(5, 0))), RollBack, ReasonDoubt},
+		{"few answers, late", with(ofOrder(running, 10*time.Second), evidence(answers(5, 0))), RollBack, ReasonInconclusive},
 		{"all targets lost", with(ofOrder(running, 10*time.Second), func(s *State) { s.Canary = 0 }), RollBack, ReasonNoTargets},
-		{"too many requests", with(ofOrder(running, 3*time.Second), evidence(answers(900, 0))), RollBack, ReasonDoubt},
-		{"moved", with(ofOrder(last, 8*time.Second), evidence(answers(300, 0))), Complete, ReasonMoved},
+		{"too many requests", with(ofOrder(running, 3*time.Second), evidence(answers(900, 0))), RollBack, ReasonInconclusive},
+		{"moved", with(ofOrder(last, 8*time.Second), evidence(answers(300, 0))), Complete, ReasonTrafficShifted},
 		{"a gateway is behind", with(ofOrder(last, 8*time.Second), evidence(answers(300, 0)),
-			func(s *State) { s.Behind = []Lag{{Gateway: "a"}} }), Wait, ReasonTime},
+			func(s *State) { s.Behind = []Lag{{Gateway: "a"}} }), Wait, ReasonPending},
 		{"old sends under way", with(ofOrder(last, 8*time.Second), evidence(answers(300, 0)),
-			func(s *State) { s.BaselineActive = 1 }), Wait, ReasonTime},
+			func(s *State) { s.BaselineActive = 1 }), Wait, ReasonPending},
 		{"old sends under way too long", with(ofOrder(last, 10500*time.Millisecond), evidence(answers(300, 0)),
-			func(s *State) { s.BaselineActive = 1 }), Complete, ReasonMoved},
+			func(s *State) { s.BaselineActive = 1 }), Complete, ReasonTrafficShifted},
 		{"old sends under way in the last moment", with(ofOrder(last, 10500*time.Millisecond), evidence(answers(300, 0)),
-			func(s *State) { s.BaselineActive, s.StageAge, s.Limits.DrainWait = 1, time.Second, time.Minute }), Complete, ReasonLast},
+			func(s *State) { s.BaselineActive, s.StageAge, s.Limits.DrainWait = 1, time.Second, time.Minute }), Complete, ReasonLimitReached},
 		{"doubt in the last stage", with(ofOrder(last, 10500*time.Millisecond), evidence(answers(300, 40))), RollBack, ReasonFailures},
-		{"completed", ofOrder(order(catalog.RolloutCompleted, 1000), 20*time.Second), Wait, ReasonTime},
-		{"rolled back", with(ofOrder(order(catalog.RolloutRolledBack, 50), time.Second), evidence(answers(200, 0))), Wait, ReasonTime},
+		{"completed", ofOrder(order(catalog.RolloutCompleted, 1000), 20*time.Second), Wait, ReasonPending},
+		{"rolled back", with(ofOrder(order(catalog.RolloutRolledBack, 50), time.Second), evidence(answers(200, 0))), Wait, ReasonPending},
 	} {
 		d := Decide(c.state)
-		if d.Verb != c.verb || d.Reason != c.reason {
-			t.Errorf("%s: %v for %v, want %v for %v", c.name, d.Verb, d.Reason, c.verb, c.reason)
+		if d.Action != c.verb || d.Reason != c.reason {
+			t.Errorf("%s: %v for %v, want %v for %v", c.name, d.Action, d.Reason, c.verb, c.reason)
 		}
-		if d.Verb == Advance && d.Permille <= c.state.Order.Permille {
+		if d.Action == Advance && d.Permille <= c.state.Order.Permille {
 			t.Errorf("%s: from %d‰ to %d‰", c.name, c.state.Order.Permille, d.Permille)
 		}
 	}
@@ -85,7 +85,7 @@
 		p := play{seed: uint64(seed), within: 12 * time.Second, rate: 170, targets: 30, trouble: trouble{hit: .15, fails: .4}}
 		p.decide = func(s State) Decision {
 			d := Decide(s)
-			if d.Verb == Advance && d.Permille <= share {
+			if d.Action == Advance && d.Permille <= share {
 				t.Errorf("seed %d: from %d‰ to %d‰", seed, share, d.Permille)
 			}
 			share = max(share, d.Permille)
@@ -101,7 +101,7 @@
 		p := play{within: 10 * time.Minute, rate: 20, targets: 30, flaw: f}
 		p.decide = func(s State) Decision {
 			d := Decide(s)
-			if d.Verb != Wait {
+			if d.Action != Wait {
 				writes++
 			}
 			return d
@@ -111,8 +111,8 @@
 		if f.fails > 0 {
 			want = RollBack
 		}
-		if r.end.Verb != want || writes > 6 || r.exposed > r.allowed {
-			t.Errorf("%+v: %v for %v at %v, %d writes, %.0f of %.0f requests", f, r.end.Verb, r.end.Reason, r.at, writes, r.exposed, r.allowed)
+		if r.end.Action != want || writes > 6 || r.exposed > r.allowed {
+			t.Errorf("%+v: %v for %v at %v, %d writes, %.0f of %.0f requests", f, r.end.Action, r.end.Reason, r.at, writes, r.exposed, r.allowed)
 		}
 	}
 }
--- a/core/gateway/rollout/evidence.go
+++ b/core/gateway/rollout/evidence.go
@@ -28,13 +28,13 @@
 // Minus takes away earlier counts of the same sends.
 func (c Counts) Minus(d Counts) Counts {
 	return Counts{
-		Sends: less(c.Sends, d.Sends), Failed: less(c.Failed, d.Failed),
-		Slow: less(c.Slow, d.Slow), Cold: less(c.Cold, d.Cold),
+		Sends: saturatingSub(c.Sends, d.Sends), Failed: saturatingSub(c.Failed, d.Failed),
+		Slow: saturatingSub(c.Slow, d.Slow), Cold: saturatingSub(c.Cold, d.Cold),
 	}
 }
 
-// less is a minus b, 0 where b is greater: where reports contradict each other.
-func less(a, b uint64) uint64 { return max(a, b) - b }
+// saturatingSub is a minus b, 0 where b is greater: where reports contradict each other.
+func saturatingSub(a, b uint64) uint64 { return max(a, b) - b }
 
 // RouteCounts are those of one route and one side of the comparison.
 type RouteCounts struct {
@@ -96,21 +96,21 @@
 	return out
 }
 
-// grow adds, in place, what one life of a gateway's process has counted since it reported
+// addDelta adds, in place, what one life of a gateway's process has counted since it reported
 // before; nil where it had not.
-func (r Routes) grow(counts, before []RouteCounts) {
+func (r Routes) addDelta(counts, previous []RouteCounts) {
 	for _, c := range counts {
-		grown := c.Counts
-		for _, b := range before {
+		delta := c.Counts
+		for _, b := range previous {
 			if b.Route == c.Route && b.Canary == c.Canary {
-				grown = grown.Minus(b.Counts)
+				delta = delta.Minus(b.Counts)
 			}
 		}
 		p := r[c.Route]
 		if c.Canary {
-			p.Canary = p.Canary.Plus(grown)
+			p.Canary = p.Canary.Plus(delta)
 		} else {
-			p.Baseline = p.Baseline.Plus(grown)
+			p.Baseline = p.Baseline.Plus(delta)
 		}
 		r[c.Route] = p
 	}
@@ -163,8 +163,8 @@
 	return sum, span
 }
 
-// latest is the evidence of the slices that began no longer ago than an age.
-func (e Evidence) latest(age time.Duration) Evidence {
+// within is the evidence of the slices that began no longer ago than an age.
+func (e Evidence) within(age time.Duration) Evidence {
 	e.Routes, _ = e.since(age)
 	n := 0
 	for n < len(e.Slices) && e.Slices[n].Age <= age {
@@ -175,25 +175,25 @@
 }
 
 const (
-	// rateSpan is over how long the rate of a service is measured: long enough for some
+	// rateWindow is over how long the rate of a service is measured: long enough for some
 	// reports of each gateway, short enough to follow a burst. leastRateSpan is the least
 	// from which one is sent.
-	rateSpan      = 1500 * time.Millisecond
-	leastRateSpan = 700 * time.Millisecond
+	rateWindow      = 1500 * time.Millisecond
+	minRateWindow = 700 * time.Millisecond
 )
 
 // rate is how many sends a second the service gets; 0 where nothing was reported for long
 // enough.
 func (e Evidence) rate() float64 {
-	routes, span := e.since(rateSpan)
-	if span < leastRateSpan {
+	routes, span := e.since(rateWindow)
+	if span < minRateWindow {
 		return 0
 	}
 	return float64(routes.Total().sends()) / span.Seconds()
 }
 
-// badBefore is how many bad answers of the canary were reported longer ago than a time.
-func (e Evidence) badBefore(ago time.Duration) uint64 {
+// badResponsesBefore is how many bad answers of the canary were reported longer ago than a time.
+func (e Evidence) badResponsesBefore(ago time.Duration) uint64 {
 	routes, _ := e.since(ago)
 	c := e.Total().Canary.Minus(routes.Total().Canary)
 	return c.Failed + c.Slow
--- a/core/gateway/rollout/evidence_test.go
+++ b/core/gateway/rollout/evidence_test.go
@@ -14,13 +14,13 @@
 }
 
 func TestLedgerCountsNothingTwice(t *testing.T) {
-	l := NewLedger()
-	l.Note(start, report("a", 1, 10, 1))
-	l.Note(start, report("a", 1, 20, 2)) // in place of the one before
-	l.Note(start, report("a", 1, 15, 1)) // overtaken on its way
-	l.Note(start, report("b", 1, 5, 0))
-	l.Note(start, report("b", 2, 3, 3)) // a new life
-	l.Note(start, report("b", 1, 6, 0)) // late, of the life before
+	l := NewReportLog()
+	l.Add(start, report("a", 1, 10, 1))
+	l.Add(start, report("a", 1, 20, 2)) // in place of the one before
+	l.Add(start, report("a", 1, 15, 1)) // overtaken on its way
+	l.Add(start, report("b", 1, 5, 0))
+	l.Add(start, report("b", 2, 3, 3)) // a new life
+	l.Add(start, report("b", 1, 6, 0)) // late, of the life before
 	got := l.Evidence(start).Total().Canary
 	if want := (Counts{Sends: 28, Failed: 5}); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
@@ -28,10 +28,10 @@
 }
 
 func TestLedgerSaysWhoIsBehind(t *testing.T) {
-	l := NewLedger()
-	l.Note(start, Report{Gateway: "a", Permille: 1000, BaselineActive: 2})
-	l.Note(start, Report{Gateway: "b", Permille: 500})
-	l.Note(start, Report{Gateway: "gone", BaselineActive: 9})
+	l := NewReportLog()
+	l.Add(start, Report{Gateway: "a", Permille: 1000, BaselineActive: 2})
+	l.Add(start, Report{Gateway: "b", Permille: 500})
+	l.Add(start, Report{Gateway: "gone", BaselineActive: 9})
 	touch := []string{"a", "b", "c"}
 	got := l.Behind(start.Add(time.Second), 1000, touch)
 	if len(got) != 2 || got[0] != (Lag{Gateway: "b", Age: time.Second}) || got[1] != (Lag{Gateway: "c", Age: -1}) {
@@ -43,11 +43,11 @@
 }
 
 func TestEvidenceIsDividedByTime(t *testing.T) {
-	l := NewLedger()
+	l := NewReportLog()
 	for i := range 400 { // 100 s
-		l.Note(start.Add(time.Duration(i)*snapshotEvery), report("a", 1, 5+uint64(10*i), uint64(max(0, i-390))))
+		l.Add(start.Add(time.Duration(i)*snapshotInterval), report("a", 1, 5+uint64(10*i), uint64(max(0, i-390))))
 	}
-	e := l.Evidence(start.Add(400 * snapshotEvery))
+	e := l.Evidence(start.Add(400 * snapshotInterval))
 	if len(e.Slices) > 60 {
 		t.Errorf("%d slices of 100 s", len(e.Slices))
 	}
@@ -56,7 +56,7 @@
 	}
 	for _, s := range e.Slices[:len(e.Slices)-1] {
 		routes, span := e.since(s.Age)
-		if got, want := routes.Total().Canary.Sends, uint64(10*(span/snapshotEvery)); got != want {
+		if got, want := routes.Total().Canary.Sends, uint64(10*(span/snapshotInterval)); got != want {
 			t.Errorf("%d sends in %v, want %d", got, span, want)
 		}
 	}
@@ -69,9 +69,9 @@
 }
 
 func TestSuccessorTakesHistoryForOld(t *testing.T) {
-	l := NewLedger()
-	l.Note(start, report("a", 1, 1000, 500))
-	l.Note(start.Add(time.Second), report("b", 1, 1000, 500))
+	l := NewReportLog()
+	l.Add(start, report("a", 1, 1000, 500))
+	l.Add(start.Add(time.Second), report("b", 1, 1000, 500))
 	e := l.Evidence(start.Add(time.Second))
 	if recent, _ := e.since(time.Second / 2); recent.Total().Canary.Sends != 0 || e.Total().Canary.Sends != 2000 {
 		t.Errorf("%d new sends of %d", recent.Total().Canary.Sends, e.Total().Canary.Sends)
--- a/core/gateway/rollout/ledger.go
+++ b/core/gateway/rollout/ledger.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// snapshotEvery is the least time between two snapshots, from which slices are made:
+	// snapshotInterval is the least time between two snapshots, from which slices are made:
 	// about the time between two reports of a gateway.
-	snapshotEvery = 250 * time.Millisecond
-	// snapshotShare is how far apart two neighbouring snapshots may be, as a part of their
+	snapshotInterval = 250 * time.Millisecond
+	// maxSnapshotGapShare is how far apart two neighbouring snapshots may be, as a part of their
 	// age: a dozen for each tenfold age, so that few are kept in a rollout of hours.
-	snapshotShare = 0.2
+	maxSnapshotGapShare = 0.2
 )
 
-// Ledger holds the latest report of each gateway on one rollout. It is not safe for
+// ReportLog holds the latest report of each gateway on one rollout. It is not safe for
 // concurrent use.
-type Ledger struct {
-	gateways map[string]*entry
+type ReportLog struct {
+	gateways map[string]*gatewayReport
 	sum      Routes
 	// snapshots are earlier sums, the oldest first.
 	snapshots []snapshot
 }
 
-// entry is what is known of one gateway.
-type entry struct {
+// gatewayReport is what is known of one gateway.
+type gatewayReport struct {
 	at     time.Time
 	latest Report
 }
@@ -36,25 +36,25 @@
 	sum Routes
 }
 
-// NewLedger makes an empty one.
-func NewLedger() *Ledger { return &Ledger{gateways: map[string]*entry{}, sum: Routes{}} }
+// NewReportLog makes an empty one.
+func NewReportLog() *ReportLog { return &ReportLog{gateways: map[string]*gatewayReport{}, sum: Routes{}} }
 
-// Note takes in a report, unless a later one of that gateway is there. What a gateway
+// Add takes in a report, unless a later one of that gateway is there. What a gateway
 // counts in a new life of its process adds to what it counted before.
-func (l *Ledger) Note(now time.Time, r Report) {
-	l.keepSnapshot(now)
+func (l *ReportLog) Add(now time.Time, r Report) {
+	l.takeSnapshot(now)
 	e, known := l.gateways[r.Gateway]
 	switch {
 	case !known:
-		e = &entry{}
+		e = &gatewayReport{}
 		l.gateways[r.Gateway] = e
-		l.addHistory(r.Counts)
+		l.addInitialCounts(r.Counts)
 	case r.Start > e.latest.Start:
-		l.sum.grow(r.Counts, nil)
+		l.sum.addDelta(r.Counts, nil)
 	case r.Start < e.latest.Start || sends(r) < sends(e.latest):
 		return // overtaken on its way
 	default:
-		l.sum.grow(r.Counts, e.latest.Counts)
+		l.sum.addDelta(r.Counts, e.latest.Counts)
 	}
 	e.at, e.latest = now, r
 }
@@ -67,31 +67,31 @@
 	return sum
 }
 
-// addHistory adds what a gateway had counted before it was first learnt of: to a successor
+// addInitialCounts adds what a gateway had counted before it was first learnt of: to a successor
 // all report all that they have counted since the order, which no slice may show as new.
-func (l *Ledger) addHistory(counts []RouteCounts) {
-	l.sum.grow(counts, nil)
+func (l *ReportLog) addInitialCounts(counts []RouteCounts) {
+	l.sum.addDelta(counts, nil)
 	for _, s := range l.snapshots {
-		s.sum.grow(counts, nil)
+		s.sum.addDelta(counts, nil)
 	}
 }
 
-// keepSnapshot keeps the sum as it is, if the last snapshot is old enough.
-func (l *Ledger) keepSnapshot(now time.Time) {
-	if n := len(l.snapshots); n > 0 && now.Sub(l.snapshots[n-1].at) < snapshotEvery {
+// takeSnapshot keeps the sum as it is, if the last snapshot is old enough.
+func (l *ReportLog) takeSnapshot(now time.Time) {
+	if n := len(l.snapshots); n > 0 && now.Sub(l.snapshots[n-1].at) < snapshotInterval {
 		return
 	}
-	l.thin(now)
+	l.pruneSnapshots(now)
 	l.snapshots = append(l.snapshots, snapshot{at: now, sum: maps.Clone(l.sum)})
 }
 
-// thin drops snapshots whose neighbours are close together for their age.
-func (l *Ledger) thin(now time.Time) {
+// pruneSnapshots drops snapshots whose neighbours are close together for their age.
+func (l *ReportLog) pruneSnapshots(now time.Time) {
 	kept := l.snapshots[:0]
 	for i, s := range l.snapshots {
 		if i > 0 && i < len(l.snapshots)-1 {
 			gap := l.snapshots[i+1].at.Sub(kept[len(kept)-1].at)
-			if gap.Seconds() < snapshotShare*now.Sub(s.at).Seconds() {
+			if gap.Seconds() < maxSnapshotGapShare*now.Sub(s.at).Seconds() {
 				continue
 			}
 		}
@@ -101,11 +101,11 @@
 }
 
 // Evidence is what all reports say together at a moment.
-func (l *Ledger) Evidence(now time.Time) Evidence {
+func (l *ReportLog) Evidence(now time.Time) Evidence {
 	out := Evidence{Routes: maps.Clone(l.sum), Reports: len(l.gateways)}
 	later := l.sum
 	for i, s := range slices.Backward(l.snapshots) {
-		if now.Sub(s.at) < snapshotEvery && i > 0 {
+		if now.Sub(s.at) < snapshotInterval && i > 0 {
 			continue
 		}
 		earlier := s.sum
@@ -130,7 +130,7 @@
 
 // Behind lists those of the gateways, in their order, that have not yet reported to send
 // by a stage.
-func (l *Ledger) Behind(now time.Time, permille int, gateways []string) []Lag {
+func (l *ReportLog) Behind(now time.Time, permille int, gateways []string) []Lag {
 	var out []Lag
 	for _, id := range gateways {
 		e, known := l.gateways[id]
@@ -146,7 +146,7 @@
 
 // BaselineActive is how many sends to the baseline are under way at the gateways, by
 // their latest reports.
-func (l *Ledger) BaselineActive(gateways []string) (sum int) {
+func (l *ReportLog) BaselineActive(gateways []string) (sum int) {
 	for _, id := range gateways {
 		if e, known := l.gateways[id]; known {
 			sum += e.latest.BaselineActive
--- a/core/gateway/rollout/play_test.go
+++ b/core/gateway/rollout/play_test.go
@@ -82,7 +82,7 @@
 	ends   map[int][]known
 	active [2][]int // by side and gateway
 	counts []map[RouteCounts]Counts
-	ledger *Ledger
+	ledger *ReportLog
 	stage  time.Duration
 	out    result
 	total  float64
@@ -90,7 +90,7 @@
 
 func (p play) run() result {
 	g := &player{
-		play: p, draw: rand.New(rand.NewPCG(p.seed, 7)), ledger: NewLedger(), ends: map[int][]known{},
+		play: p, draw: rand.New(rand.NewPCG(p.seed, 7)), ledger: NewReportLog(), ends: map[int][]known{},
 		order: catalog.Rollout{Service: "api", Version: "2", Within: p.within},
 	}
 	if g.decide == nil {
@@ -166,7 +166,7 @@
 
 func (g *player) request(now time.Duration, sent catalog.Rollout) {
 	g.total++
-	canary := sent.State == catalog.RolloutRunning && now >= playAppear && g.draw.Float64()*Whole < float64(sent.Permille)
+	canary := sent.State == catalog.RolloutRunning && now >= playAppear && g.draw.Float64()*FullShare < float64(sent.Permille)
 	route := playRoutes[pick(g.draw)].name
 	fails, slow := g.odds(now, sent, canary, route)
 	took := time.Duration((.5 + g.draw.Float64()) * float64(playUsual))
@@ -196,7 +196,7 @@
 func (g *player) odds(now time.Duration, sent catalog.Rollout, canary bool, route string) (fails, slow float64) {
 	hit := g.hitOld
 	if canary {
-		hit = g.hitNew[:chosen(sent.Permille, g.targets)]
+		hit = g.hitNew[:canarySize(sent.Permille, g.targets)]
 	}
 	if hit[g.draw.IntN(len(hit))] {
 		fails, slow = g.trouble.fails, g.trouble.slow
@@ -220,7 +220,7 @@
 		side.Counts = c
 		r.Counts = append(r.Counts, side)
 	}
-	g.ledger.Note(start.Add(now), r)
+	g.ledger.Add(start.Add(now), r)
 }
 
 func (g *player) judge(now time.Duration) {
@@ -242,7 +242,7 @@
 	s.Behind = g.ledger.Behind(start.Add(now), g.order.Permille, ids)
 	s.BaselineActive = g.ledger.BaselineActive(ids)
 	d := g.decide(s)
-	switch d.Verb {
+	switch d.Action {
 	case Wait:
 		return
 	case Advance:
--- a/core/gateway/rollout/table_test.go
+++ b/core/gateway/rollout/table_test.go
@@ -53,14 +53,14 @@
 	share := r.exposed / r.allowed
 	if p.flaw == (flaw{}) {
 		t.good++
-		if r.end.Verb != Complete {
+		if r.end.Action != Complete {
 			t.reversed++
 		}
 		t.cut += r.cut
 		return
 	}
 	t.bad++
-	if r.end.Verb == Complete {
+	if r.end.Action == Complete {
 		t.missed++
 		return
 	}
@@ -230,11 +230,11 @@
 func fixedSteps(s State) Decision {
 	d := Decide(s)
 	switch {
-	case d.Verb != Advance || d.Permille == Whole:
+	case d.Action != Advance || d.Permille == FullShare:
 		return d
 	case s.Order.Permille == 0:
 		return d.advance(50, d.Reason)
-	case s.Order.Permille >= 250 || s.Age < part(s.Order.Within, rampAfter):
+	case s.Order.Permille >= 250 || s.Age < fractionOf(s.Order.Within, rampStart):
 		return Decision{}
 	}
 	return d.advance(250, d.Reason)
@@ -250,8 +250,8 @@
 			for _, p := range window.withAll() {
 				for _, m := range measures {
 					n := m.sends(p.Canary)
-					if n >= least && float64(m.count(p.Canary))/float64(n) > m.share(p.Baseline)+margin {
-						return Decision{Verb: RollBack, Reason: m.reason}
+					if n >= least && float64(m.count(p.Canary))/float64(n) > m.expectedShare(p.Baseline)+margin {
+						return Decision{Action: RollBack, Reason: m.reason}
 					}
 				}
 			}
--- a/core/gateway/rollout/versions.go
+++ b/core/gateway/rollout/versions.go
@@ -11,23 +11,23 @@
 // for the life of the process: an operator may delete an order, and entries of targets may
 // come before the order. It is not safe for concurrent use.
 type Versions struct {
-	services map[string]*versions
+	services map[string]*serviceVersions
 }
 
-// versions are those of one service. One that is in none of the sets is new.
-type versions struct {
+// serviceVersions are those of one service. One that is in none of the sets is new.
+type serviceVersions struct {
 	serving map[string]bool
 	trial   map[string]bool
 	// retired are the targets that a completed rollout replaced; later ones of
 	// their version may come by other ways and count like those of any.
 	retired map[catalog.Life]bool
-	// seen holds, by each target of a new version, the revision up to which targets
+	// firstSeen holds, by each target of a new version, the revision up to which targets
 	// were known when it was first met: it waits until orders are known as far.
-	seen map[catalog.Life]uint64
+	firstSeen map[catalog.Life]uint64
 }
 
 // NewVersions makes one that has met none.
-func NewVersions() *Versions { return &Versions{services: map[string]*versions{}} }
+func NewVersions() *Versions { return &Versions{services: map[string]*serviceVersions{}} }
 
 // Admit takes in all known targets of a service, also those that leave or are evacuated,
 // with its order if there is one (ordered), and how far knowledge has come. It lists them
@@ -37,13 +37,13 @@
 //     to the revision at which the target was known;
 //   - whose version is on trial without an order, or was replaced, while others are there.
 func (v *Versions) Admit(service string, targets []catalog.Target, r catalog.Rollout, ordered bool, at catalog.Position) []catalog.Target {
-	s := v.of(service)
+	s := v.service(service)
 	if ordered {
-		s.follow(r, targets)
+		s.applyOrder(r, targets)
 	}
 	present := s.present(targets)
-	s.meet(targets, at)
-	presumed := s.presumed(present)
+	s.observe(targets, at)
+	presumed := s.presumedServing(present)
 	admitted := make([]catalog.Target, 0, len(targets))
 	for _, t := range targets {
 		if s.admits(t, r, ordered, presumed) {
@@ -58,13 +58,13 @@
 
 // OnTrial says whether a version of a service was met on trial: ordered beside another
 // one that was in service, and not completed.
-func (v *Versions) OnTrial(service, version string) bool { return v.of(service).trial[version] }
+func (v *Versions) OnTrial(service, version string) bool { return v.service(service).trial[version] }
 
-func (v *Versions) of(service string) *versions {
+func (v *Versions) service(service string) *serviceVersions {
 	s, known := v.services[service]
 	if !known {
-		s = &versions{
-			serving: map[string]bool{}, trial: map[string]bool{}, retired: map[catalog.Life]bool{}, seen: map[catalog.Life]uint64{},
+		s = &serviceVersions{
+			serving: map[string]bool{}, trial: map[string]bool{}, retired: map[catalog.Life]bool{}, firstSeen: map[catalog.Life]uint64{},
 		}
 		v.services[service] = s
 	}
@@ -72,7 +72,7 @@
 }
 
 // present counts, by version, the targets that are not leaving.
-func (s *versions) present(targets []catalog.Target) map[string]int {
+func (s *serviceVersions) present(targets []catalog.Target) map[string]int {
 	out := map[string]int{}
 	for _, t := range targets {
 		if !t.Leaving && !s.retired[t.Life()] {
@@ -82,8 +82,8 @@
 	return out
 }
 
-// follow takes in what an order says of its version.
-func (s *versions) follow(r catalog.Rollout, targets []catalog.Target) {
+// applyOrder takes in what an order says of its version.
+func (s *serviceVersions) applyOrder(r catalog.Rollout, targets []catalog.Target) {
 	for _, t := range targets {
 		if t.Version == r.Version {
 			delete(s.retired, t.Life())
@@ -91,16 +91,16 @@
 	}
 	switch {
 	case r.State == catalog.RolloutCompleted:
-		s.replaceBy(r.Version, targets)
-	case s.hasOther(r.Version, s.present(targets)):
+		s.complete(r.Version, targets)
+	case s.hasOtherServing(r.Version, s.present(targets)):
 		s.trial[r.Version] = true
 		delete(s.serving, r.Version)
 	}
 }
 
-// replaceBy notes that a version was completed. Who did not see it on trial can't say what
+// complete notes that a version was completed. Who did not see it on trial can't say what
 // it replaced.
-func (s *versions) replaceBy(version string, targets []catalog.Target) {
+func (s *serviceVersions) complete(version string, targets []catalog.Target) {
 	if s.trial[version] {
 		clear(s.retired)
 		for _, t := range targets {
@@ -114,8 +114,8 @@
 	s.serving[version] = true
 }
 
-// hasOther says whether a version is in service beside one that is ordered.
-func (s *versions) hasOther(version string, present map[string]int) bool {
+// hasOtherServing says whether a version is in service beside one that is ordered.
+func (s *serviceVersions) hasOtherServing(version string, present map[string]int) bool {
 	for other := range present {
 		if other != version && !s.trial[other] {
 			return true
@@ -125,45 +125,45 @@
 	return !s.serving[version] && len(s.serving) > 0
 }
 
-// meet notes how far targets were known when those of new versions were first met, and
+// observe notes how far targets were known when those of new versions were first met, and
 // which versions are in service: those of which no order can be missing.
-func (s *versions) meet(targets []catalog.Target, at catalog.Position) {
-	seen := map[catalog.Life]uint64{}
+func (s *serviceVersions) observe(targets []catalog.Target, at catalog.Position) {
+	firstSeen := map[catalog.Life]uint64{}
 	for _, t := range targets {
 		if !s.isNew(t.Version) || s.retired[t.Life()] {
 			continue
 		}
-		since, met := s.seen[t.Life()]
-		if !met {
+		since, seenBefore := s.firstSeen[t.Life()]
+		if !seenBefore {
 			since = at.Changed
 		}
-		seen[t.Life()] = since
+		firstSeen[t.Life()] = since
 		if at.Rollouts > 0 && at.Rollouts >= since && !t.Leaving {
 			s.serving[t.Version] = true
 		}
 	}
-	s.seen = seen
+	s.firstSeen = firstSeen
 }
 
-func (s *versions) isNew(version string) bool {
+func (s *serviceVersions) isNew(version string) bool {
 	return !s.serving[version] && !s.trial[version]
 }
 
-// presumed is the new version that serves while none was met in service: that of most
+// presumedServing is the new version that serves while none was met in service: that of most
 // targets, since those of an ordered one start beside them; of two with as many, the first
 // by name.
-func (s *versions) presumed(present map[string]int) string {
-	var most string
+func (s *serviceVersions) presumedServing(present map[string]int) string {
+	var best string
 	for _, version := range slices.Sorted(maps.Keys(present)) {
-		if s.isNew(version) && present[version] > present[most] {
-			most = version
+		if s.isNew(version) && present[version] > present[best] {
+			best = version
 		}
 	}
-	return most
+	return best
 }
 
 // admits says whether a target may take requests.
-func (s *versions) admits(t catalog.Target, r catalog.Rollout, ordered bool, presumed string) bool {
+func (s *serviceVersions) admits(t catalog.Target, r catalog.Rollout, ordered bool, presumed string) bool {
 	switch {
 	case s.trial[t.Version]:
 		return ordered && r.Version == t.Version
--- a/internal/gateway/delivery/course.go
+++ b/internal/gateway/delivery/course.go
@@ -16,7 +16,7 @@
 	// decide was first seen as such.
 	staged   time.Time
 	named    time.Time
-	ledger   *rollout.Ledger      // the gateways' reports
+	ledger   *rollout.ReportLog      // the gateways' reports
 	reported map[string]time.Time // when each gateway last reported, by its id
 	writes   writes
 	// told is the latest answer of a gateway that was named to decide, to a report of this
@@ -28,7 +28,7 @@
 }
 
 func newCourse(now time.Time, r catalog.Rollout) *course {
-	return &course{order: r, staged: now, named: now, ledger: rollout.NewLedger(), reported: map[string]time.Time{}}
+	return &course{order: r, staged: now, named: now, ledger: rollout.NewReportLog(), reported: map[string]time.Time{}}
 }
 
 // decider is the gateway that is named to decide.
@@ -58,7 +58,7 @@
 
 // note takes in a gateway's report.
 func (c *course) note(now time.Time, r rollout.Report) {
-	c.ledger.Note(now, r)
+	c.ledger.Add(now, r)
 	c.reported[r.Gateway] = now
 }
 
--- a/internal/gateway/delivery/decide.go
+++ b/internal/gateway/delivery/decide.go
@@ -62,7 +62,7 @@
 	w := write{rollout: c.order, before: c.order}
 	if c.isDecidedBy(d.options.Self.ID) {
 		w.decision = d.options.Decide(d.state(now, c, standing, peers))
-		if w.decision.Verb == rollout.Wait || c.lacksReports(now) && w.decision.Verb != rollout.RollBack {
+		if w.decision.Action == rollout.Wait || c.lacksReports(now) && w.decision.Action != rollout.RollBack {
 			return write{}, false
 		}
 		w.apply()
@@ -70,7 +70,7 @@
 		return write{}, false
 	}
 	// The age never falls below the recorded one: that would look like another order.
-	w.rollout.Elapsed, w.rollout.At = max(d.ages.Of(now, service), c.order.Elapsed), now.UnixMilli()
+	w.rollout.Elapsed, w.rollout.At = max(d.ages.Age(now, service), c.order.Elapsed), now.UnixMilli()
 	w.rollout.Decider, w.rollout.Peer = d.options.Self.ID, d.options.Self.Peer
 	if !c.writes.mayBegin(now, w.rollout.State) || !d.mayWrite(now, w.rollout.State) {
 		return write{}, false
@@ -107,7 +107,7 @@
 	inTouch := c.inTouch(now, peers)
 	return rollout.State{
 		Order: c.order, Limits: d.options.Limits,
-		Age: d.ages.Of(now, c.order.Service), StageAge: now.Sub(c.staged),
+		Age: d.ages.Age(now, c.order.Service), StageAge: now.Sub(c.staged),
 		OnTrial: standing.OnTrial, Baseline: standing.Baseline, Canary: standing.Canary, Warm: standing.Warm,
 		Evidence: c.ledger.Evidence(now), Behind: c.ledger.Behind(now, c.order.Permille, inTouch),
 		BaselineActive: c.ledger.BaselineActive(inTouch),
@@ -116,11 +116,11 @@
 
 // apply puts the decision into what is written.
 func (w *write) apply() {
-	switch w.decision.Verb {
+	switch w.decision.Action {
 	case rollout.Advance:
 		w.rollout.State, w.rollout.Permille = catalog.RolloutRunning, w.decision.Permille
 	case rollout.Complete:
-		w.rollout.State, w.rollout.Permille = catalog.RolloutCompleted, rollout.Whole
+		w.rollout.State, w.rollout.Permille = catalog.RolloutCompleted, rollout.FullShare
 	case rollout.RollBack:
 		w.rollout.State, w.rollout.Permille = catalog.RolloutRolledBack, 0
 	}
--- a/internal/gateway/delivery/delivery.go
+++ b/internal/gateway/delivery/delivery.go
@@ -168,7 +168,7 @@
 	case r.Revision > c.order.Revision:
 		c.take(now, r)
 	}
-	d.ages.Note(now, d.courses[r.Service].order, d.confirmed)
+	d.ages.Observe(now, d.courses[r.Service].order, d.confirmed)
 }
 
 // wait waits until it is time for the next look; false if ctx ended first.
--- a/internal/gateway/delivery/due.go
+++ b/internal/gateway/delivery/due.go
@@ -61,7 +61,7 @@
 // isUrgent says whether a report says something that is waited for: a bad answer, a stage,
 // or that nothing is under way to the baseline any more.
 func (s sent) isUrgent(r rollout.Report) bool {
-	emptied := r.BaselineActive == 0 && s.report.BaselineActive > 0 && r.Permille == rollout.Whole
+	emptied := r.BaselineActive == 0 && s.report.BaselineActive > 0 && r.Permille == rollout.FullShare
 	return emptied || s.report.Permille != r.Permille || bad(r) > bad(s.report)
 }
 
--- a/internal/gateway/delivery/record.go
+++ b/internal/gateway/delivery/record.go
@@ -115,7 +115,7 @@
 }
 
 // isTakeover says whether a write changes nothing but who decides.
-func (w write) isTakeover() bool { return w.decision.Verb == rollout.Wait }
+func (w write) isTakeover() bool { return w.decision.Action == rollout.Wait }
 
 // endName names how a write ended, as log lines and metrics do.
 func endName(end discovery.RecordEnd) string {
--- a/internal/gateway/delivery/world_test.go
+++ b/internal/gateway/delivery/world_test.go
@@ -156,19 +156,19 @@
 	next := slices.IndexFunc(stages, func(permille int) bool { return permille > s.Order.Permille })
 	switch {
 	case s.Evidence.Total().Canary.Failed >= 3:
-		return rollout.Decision{Verb: rollout.RollBack, Reason: rollout.ReasonFailures}
+		return rollout.Decision{Action: rollout.RollBack, Reason: rollout.ReasonFailures}
 	case s.Age >= s.Order.Within:
-		return rollout.Decision{Verb: rollout.RollBack, Reason: rollout.ReasonDeadline}
+		return rollout.Decision{Action: rollout.RollBack, Reason: rollout.ReasonDeadline}
 	case s.Order.State == catalog.RolloutOrdered:
-		return rollout.Decision{Verb: rollout.Advance, Permille: stages[0], Reason: rollout.ReasonOrdered}
+		return rollout.Decision{Action: rollout.Advance, Permille: stages[0], Reason: rollout.ReasonOrdered}
 	case s.StageAge < time.Second || len(s.Behind) > 0 && s.StageAge < 3*time.Second || s.Evidence.Reports == 0:
 		return rollout.Decision{}
 	case next < 0 && s.BaselineActive == 0:
-		return rollout.Decision{Verb: rollout.Complete, Reason: rollout.ReasonMoved}
+		return rollout.Decision{Action: rollout.Complete, Reason: rollout.ReasonTrafficShifted}
 	case next < 0:
 		return rollout.Decision{}
 	}
-	return rollout.Decision{Verb: rollout.Advance, Permille: stages[next], Reason: rollout.ReasonSound}
+	return rollout.Decision{Action: rollout.Advance, Permille: stages[next], Reason: rollout.ReasonHealthy}
 }
 
 func (w *world) decide(s rollout.State) rollout.Decision {
@@ -176,7 +176,7 @@
 		return rollout.Decision{}
 	}
 	decision := decideByCounts(s)
-	if decision.Verb == rollout.Advance {
+	if decision.Action == rollout.Advance {
 		w.reports.Store(int32(s.Evidence.Reports))
 	}
 	return decision
--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -33,13 +33,13 @@
 	next := map[int]int{0: 20, 20: 130, 130: 400, 400: 1000}[s.Order.Permille]
 	switch {
 	case s.Evidence.Total().Canary.Failed >= 50:
-		return rollout.Decision{Verb: rollout.RollBack, Reason: rollout.ReasonFailures}
+		return rollout.Decision{Action: rollout.RollBack, Reason: rollout.ReasonFailures}
 	case s.Order.State == catalog.RolloutOrdered:
-		return rollout.Decision{Verb: rollout.Advance, Permille: next}
+		return rollout.Decision{Action: rollout.Advance, Permille: next}
 	case s.Order.Permille == 1000 && len(s.Behind) == 0:
-		return rollout.Decision{Verb: rollout.Complete, Reason: rollout.ReasonMoved}
+		return rollout.Decision{Action: rollout.Complete, Reason: rollout.ReasonTrafficShifted}
 	case s.Order.Permille < 1000 && s.StageAge >= stageFor:
-		return rollout.Decision{Verb: rollout.Advance, Permille: next}
+		return rollout.Decision{Action: rollout.Advance, Permille: next}
 	}
 	return rollout.Decision{}
 }
