--- a/core/gateway/changes/changes_test.go
+++ b/core/gateway/changes/changes_test.go
@@ -8,7 +8,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/changes"
 )
 
-func TestChangesAreSentInOrderAndInParts(t *testing.T) {
+func TestChangesAreReturnedInOrderAndInBatches(t *testing.T) {
 	g := NewWithT(t)
 	log := changes.NewLog(7)
 	g.Expect(log.Position()).To(Equal(changes.Position{}))
@@ -17,19 +17,19 @@
 		all = append([]changes.Change[string]{{Version: log.Next(), Update: name}}, all...)
 	}
 	g.Expect(log.Position()).To(Equal(changes.Position{Log: 7, Version: 3}))
-	updates, to := changes.First(log, all, 2)
+	updates, to := changes.NextBatch(log, all, 2)
 	g.Expect(updates).To(Equal([]string{"a", "b"}))
 	g.Expect(to).To(Equal(changes.Position{Log: 7, Version: 2}))
 	g.Expect(log.After(to)).To(Equal(uint64(2)))
-	updates, to = changes.First(log, []changes.Change[string]{{Version: 3, Update: "c"}}, 2)
+	updates, to = changes.NextBatch(log, []changes.Change[string]{{Version: 3, Update: "c"}}, 2)
 	g.Expect(updates).To(Equal([]string{"c"}))
 	g.Expect(to).To(Equal(log.Position()))
-	updates, to = changes.First[string](log, nil, 2)
+	updates, to = changes.NextBatch[string](log, nil, 2)
 	g.Expect(updates).To(BeEmpty())
 	g.Expect(to).To(Equal(log.Position()))
 }
 
-func TestAPositionOfAnotherListLacksAllChanges(t *testing.T) {
+func TestAllChangesAreMissingAtAPositionOfAnotherList(t *testing.T) {
 	g := NewWithT(t)
 	log := changes.NewLog(7)
 	log.Next()
--- a/core/gateway/quarantine/ledger.go
+++ b/core/gateway/quarantine/ledger.go
@@ -171,7 +171,7 @@
 			lacking = append(lacking, changes.Change[Update]{Version: r.version, Update: r.update(now)})
 		}
 	}
-	return changes.First(l.log, lacking, maxUpdates)
+	return changes.NextBatch(l.log, lacking, maxUpdates)
 }
 
 // Updates lists all that is known of some requests, by their contents, in a fixed order.
--- a/core/gateway/quota/board.go
+++ b/core/gateway/quota/board.go
@@ -153,7 +153,7 @@
 			})
 		}
 	}
-	return changes.First(b.log, lacking, maxUpdates)
+	return changes.NextBatch(b.log, lacking, maxUpdates)
 }
 
 // Tick forgets what is sent no more, and says whether anything that was held back should be sent
--- a/core/gateway/rollout/age.go
+++ b/core/gateway/rollout/age.go
@@ -8,45 +8,49 @@
 )
 
 const (
-	// maxClockSkew is by how much a record may be older than the wall clocks say, where this
-	// process can't bound its age otherwise: clocks of gateways differ by seconds.
+	// maxClockSkew is the assumed difference between the wall clocks of gateways, which is
+	// seconds. It is added to the age that a record's timestamp gives where this process
+	// can't bound the age otherwise.
 	maxClockSkew = 2 * time.Second
-	// unknownAge is that of an order that may have waited for any time.
+	// unknownAge is the age of an order that may have been pending for any length of time.
 	unknownAge = time.Duration(math.MaxInt64)
 )
 
-// Ages holds how old the orders are, rather too old than too young: what is not proved
-// when its time is over is rolled back, and never late. It is not safe for concurrent use.
+// Ages estimates the ages of the orders. An estimate may be too high, but never too low, so
+// that a version that is not proved healthy within its order's time is rolled back, and
+// never after the deadline. It is not safe for concurrent use.
 //
-// A process that knew all orders at some moment knows that whatever it learns of later is
-// younger. One that has just begun goes by the record and the wall clock, and of an order
-// without a record knows nothing.
+// A process that knew of all orders at some moment knows that any order that it learns of
+// later is younger. A process that has just started relies on the record and the wall
+// clock, and knows nothing about the age of an order without a record.
 type Ages struct {
 	orders map[string]orderAge
 }
 
-// orderAge is what is known of one order's age.
+// orderAge holds the bounds that are known for the age of one order.
 type orderAge struct {
 	rollout catalog.Rollout
-	// firstSeen is when it was learnt of, and least how old it was then at least.
+	// firstSeen is when the order was first seen, and minAge the lower bound of its age
+	// then.
 	firstSeen time.Time
-	minAge time.Duration
-	// boundAt and bound are a moment, and how old the order was then at most.
-	boundAt    time.Time
-	maxAge time.Duration
+	minAge    time.Duration
+	// boundAt and maxAge are a moment and the upper bound of the order's age at that
+	// moment.
+	boundAt time.Time
+	maxAge  time.Duration
 }
 
-// NewAges makes one that knows of no order.
+// NewAges returns an Ages without orders.
 func NewAges() *Ages { return &Ages{orders: map[string]orderAge{}} }
 
-// Observe takes in an order as it is believed. now carries the readings of the monotonic and
-// the wall clock; confirmed is the latest moment, before this process learnt of the order
-// as it is, at which its knowledge of rollouts was complete, zero for never.
+// Observe records an order's known state. now carries the readings of the monotonic and the
+// wall clock; confirmed is the latest moment, before this process saw the order in this
+// state, at which its view of rollouts was complete, zero for never.
 func (a *Ages) Observe(now time.Time, r catalog.Rollout, confirmed time.Time) {
 	o, known := a.orders[r.Service]
 	switch {
 	case known && !isNewOrder(o.rollout, r):
-		// Of a record that was learnt of before, what is confirmed since says nothing.
+		// A confirmation says nothing about a record that was seen before it.
 		if r.Elapsed != o.rollout.Elapsed || r.At != o.rollout.At {
 			o.tighten(now, maxRecordedAge(now, r, confirmed))
 		}
@@ -58,12 +62,12 @@
 	a.orders[r.Service] = o
 }
 
-// isNewOrder says whether r is another order than the one that was believed before.
+// isNewOrder reports whether r is another order than the one seen previously.
 func isNewOrder(previous, r catalog.Rollout) bool {
 	return r.Version != previous.Version || previous.State.Final() && !r.State.Final() || r.Elapsed < previous.Elapsed
 }
 
-// maxRecordedAge is how old an order is at most by its record.
+// maxRecordedAge returns an upper bound of an order's age by its record.
 func maxRecordedAge(now time.Time, r catalog.Rollout, confirmed time.Time) time.Duration {
 	if r.State == catalog.RolloutOrdered {
 		return unknownAge
@@ -72,7 +76,7 @@
 	return r.Elapsed + min(wallClockAge, elapsedSince(now, confirmed))
 }
 
-// elapsedSince is how long ago a moment was that may never have been.
+// elapsedSince returns the time since moment, or unknownAge if moment is zero.
 func elapsedSince(now, moment time.Time) time.Duration {
 	if moment.IsZero() {
 		return unknownAge
@@ -80,14 +84,14 @@
 	return now.Sub(moment)
 }
 
-// tighten takes in a bound that holds now, if it is less than what was known.
+// tighten applies an upper bound that holds now, if it is lower than the known one.
 func (o *orderAge) tighten(now time.Time, bound time.Duration) {
 	if bound < o.at(now) {
 		o.boundAt, o.maxAge = now, bound
 	}
 }
 
-// at is how old the order is, by what is known.
+// at returns the known upper bound of the order's age at now.
 func (o *orderAge) at(now time.Time) time.Duration {
 	elapsed := now.Sub(o.boundAt)
 	if o.maxAge > unknownAge-elapsed {
@@ -96,10 +100,10 @@
 	return max(o.maxAge+elapsed, o.minAge+now.Sub(o.firstSeen))
 }
 
-// Forget drops the order of a service that is gone.
+// Forget drops the order of a service whose order was deleted or replaced.
 func (a *Ages) Forget(service string) { delete(a.orders, service) }
 
-// Age is how old the order of a service is.
+// Age returns an upper bound of the age of a service's order.
 func (a *Ages) Age(now time.Time, service string) time.Duration {
 	o, known := a.orders[service]
 	if !known {
--- a/core/gateway/rollout/analysis.go
+++ b/core/gateway/rollout/analysis.go
@@ -8,62 +8,69 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// The comparison is sequential: it may be looked at after each report. For each measure,
-// route and window the statistic is a mixture likelihood ratio (mixtureRatio): of all
-// shares of bad answers that are too great, with equal weights, to the greatest share that
-// a sound version may have. For a sound version the chance that it ever exceeds x, however
-// often it is looked at, is at most 1/x (Ville's inequality), plus the chance that the
-// baseline's true share is greater than the bound that is taken for it (baselineSure).
+// The comparison is a sequential test: it may be evaluated after each report. For each
+// measure, route and window the statistic is a mixture likelihood ratio (mixtureRatio): of
+// all shares of bad responses that are too great, with equal weights, to the greatest share
+// that a healthy version may have. For a healthy version the probability that it ever
+// exceeds x, however often it is evaluated, is at most 1/x (Ville's inequality), plus the
+// probability that the baseline's true share is greater than the bound that is used for it
+// (baselineConfidence).
 const (
-	// rollbackRatio is the statistic from which on a version is bad, and suspectOdds that from
-	// which on it gets no greater share. Weighed by the tables of table_test.go.
-	rollbackRatio   = 2000
-	suspectRatio = 20
-	// urgentRollbackRatio is alarmOdds where a bad version's time is running out.
+	// rollbackRatio is the statistic from which on a version is rolled back, and
+	// suspectRatio the one from which on its share does not grow. Chosen by the simulations
+	// in table_test.go.
+	rollbackRatio = 2000
+	suspectRatio  = 20
+	// urgentRollbackRatio replaces rollbackRatio where the time for rolling back a bad
+	// version is running out.
 	urgentRollbackRatio = 500
-	// acceptRatio is how much likelier the counts must be of a version as good as the baseline
-	// than of a bad one before it gets all requests: at most 1 in 20 bad ones does. stageOdds
-	// is that where the counts of the latest stage alone are looked at.
-	acceptRatio = 20
+	// acceptRatio is how much likelier the counts must be for a version as good as the
+	// baseline than for a bad one before the version gets all requests: at most 1 in 20 bad
+	// versions does. stageAcceptRatio is the limit where only the counts of the latest
+	// stage are used.
+	acceptRatio      = 20
 	stageAcceptRatio = 200
-	// routeAcceptRatio is that for each route before the version is completed, five good answers,
-	// and sureRouteOdds where there is time to wait for more: eleven.
-	routeAcceptRatio     = 5
+	// routeAcceptRatio is the limit for each route before the version is completed, five
+	// good responses, and strictRouteAcceptRatio the one where there is time to wait for
+	// more: eleven.
+	routeAcceptRatio       = 5
 	strictRouteAcceptRatio = 50
-	// minRouteShare is the part of a service's sends that a route must have for a proof of its
-	// own. Less brings no five answers in the time of a stage.
+	// minRouteShare is the share of a service's sends that a route must have to be tested
+	// by itself. A smaller route has fewer than five responses in the time of a stage.
 	minRouteShare = 0.05
-	// priorBad and priorGood are what is believed of a version before it is met, in answers:
-	// that one in twenty is bad, with little weight.
+	// priorBad and priorGood are the prior for a version's share of bad responses, as
+	// counts of responses: one in twenty is bad, with little weight.
 	priorBad  = 0.5
 	priorGood = 9.5
-	// baselineConfidence is the probability with which the baseline's true share of bad answers
-	// is no greater than what is taken for its greatest.
+	// baselineConfidence is the probability with which the baseline's true share of bad
+	// responses does not exceed its upper bound (maxShareOf).
 	baselineConfidence = 0.99
-	// minBaselineSends is how many sends to the baseline a window must have for the canary's to
-	// be compared with them. In other windows the canary is compared with the baseline since
-	// the order, and allowed apartMargin more: what disturbs both versions for a while would
-	// speak against the canary alone.
+	// minBaselineSends is how many sends to the baseline a window must have for the
+	// canary's to be compared with them. In other windows the canary is compared with the
+	// baseline since the order, and its tolerance grows by fallbackMargin: a temporary
+	// disturbance of both versions would count against the canary alone.
 	minBaselineSends = 20
 	fallbackMargin   = 0.1
-	// maxBadShare is the greatest part of bad answers that a bad version is taken to give.
+	// maxBadShare is the upper limit of the share of bad responses that a bad version is
+	// assumed to have.
 	maxBadShare = 0.95
 )
 
-// measure is one way in which an answer is bad.
+// measure is one criterion by which a response counts as bad.
 type measure struct {
 	reason Reason
 	count  func(Counts) uint64
 	sends  func(Counts) uint64
-	// tolerance is by how much the share of a sound version may exceed the baseline's, and bad
-	// by how much that of a bad one does at least.
+	// tolerance is by how much the share of a healthy version may exceed the baseline's,
+	// and minExcess by how much that of a bad one does at least.
 	tolerance float64
-	minExcess     float64
+	minExcess float64
 }
 
-// measures are the ways in which a version is compared. A sound one may fail a little more
-// often where some of its few targets are faulty, and be slow more often where they are
-// fuller than those of the baseline. Weighed by the tables of table_test.go.
+// measures are the criteria by which the versions are compared. A healthy version may fail
+// slightly more often where some of its few targets are faulty, and be slow more often
+// where they have a higher utilization than those of the baseline. Chosen by the
+// simulations in table_test.go.
 var measures = []measure{
 	{
 		reason: ReasonFailures, tolerance: 0.03, minExcess: 0.1,
@@ -77,16 +84,16 @@
 	},
 }
 
-// anyBad is a bad answer of either kind, as a route is judged by before the version is
-// completed. A bad route is taken to be bad more often than a bad version: it has few
-// requests in a stage.
+// anyBad counts bad responses of either kind; a route is tested with it before the version
+// is completed. The assumed excess of a bad route is greater than that of a bad version,
+// since a route has few requests in a stage.
 var anyBad = measure{
-	minExcess:   0.3,
-	count: func(c Counts) uint64 { return c.Failed + c.Slow },
-	sends: func(c Counts) uint64 { return c.Sends },
+	minExcess: 0.3,
+	count:     func(c Counts) uint64 { return c.Failed + c.Slow },
+	sends:     func(c Counts) uint64 { return c.Sends },
 }
 
-// finding is what speaks most against a version.
+// finding is the comparison with the strongest evidence against a version.
 type finding struct {
 	reason    Reason
 	route     string // empty for all together
@@ -95,8 +102,8 @@
 	statistic float64
 }
 
-// strongestFinding is what speaks most against the canary, in the latest slices of any number, on any
-// route.
+// strongestFinding returns the strongest evidence against the canary, over windows of the
+// latest slices of any number, and over all routes.
 func strongestFinding(e Evidence) finding {
 	out := finding{pair: e.Total(), statistic: 1}
 	total := e.Routes.withAll()
@@ -114,16 +121,17 @@
 	return out
 }
 
-// allRoutes represents all routes together.
+// allRoutes is the key of the sum over all routes.
 const allRoutes = ""
 
-// withAll adds the sum of all routes.
+// withAll returns the routes with their sum added.
 func (r Routes) withAll() Routes {
 	return r.plus(Routes{allRoutes: r.Total()})
 }
 
-// statistic is the statistic of one pair of counts. Where the baseline has too few sends in
-// it, those of the route since the order are taken for it, or else those of all routes.
+// statistic returns the test statistic of one pair of counts. Where the baseline has too
+// few sends in the pair, its sends on the route since the order are used, or else those on
+// all routes.
 func (m measure) statistic(pair Pair, route, all Pair) float64 {
 	baseline, allowed := pair.Baseline, m.tolerance
 	for _, fallback := range []Counts{route.Baseline, all.Baseline} {
@@ -139,8 +147,8 @@
 	return mixtureRatio(bad, n, m.maxShareOf(baseline)+allowed)
 }
 
-// mixtureRatio is the likelihood ratio of the shares above a limit, with equal weights, to
-// that limit, for bad of n answers.
+// mixtureRatio returns the likelihood ratio of the shares above a limit, with equal
+// weights, to that limit, for bad of n responses.
 func mixtureRatio(bad, n, limit float64) float64 {
 	if limit >= 1 || bad <= n*limit {
 		return 1
@@ -152,20 +160,22 @@
 	return math.Exp(log)
 }
 
-// expectedShare is the part of bad answers that is expected of a version by its counts.
+// expectedShare returns the posterior mean of a version's share of bad responses.
 func (m measure) expectedShare(c Counts) float64 {
 	return (priorBad + float64(m.count(c))) / (priorBad + priorGood + float64(m.sends(c)))
 }
 
-// maxShareOf is what the part of bad answers of a version is at most.
+// maxShareOf returns the upper bound of a version's share of bad responses, which holds
+// with probability baselineConfidence.
 func (m measure) maxShareOf(c Counts) float64 {
 	n := float64(m.sends(c))
 	bad := min(float64(m.count(c)), n)
 	return distuv.Beta{Alpha: priorBad + bad, Beta: priorGood + n - bad}.Quantile(baselineConfidence)
 }
 
-// isTotalHealthy says whether the counts of all routes together are odds times likelier of a
-// version as good as the baseline than of a bad one; base is as in soundness.
+// isTotalHealthy reports whether the counts of all routes together are at least minRatio
+// times likelier for a version as good as the baseline than for a bad one; base is as in
+// healthyRatio.
 func isTotalHealthy(e Evidence, base Routes, minRatio float64) bool {
 	for _, m := range measures {
 		if m.healthyRatio(e, base, allRoutes, m.minExcess) < minRatio {
@@ -175,8 +185,8 @@
 	return true
 }
 
-// areRoutesHealthy says the same of each route that is used enough, by answers that are bad
-// in any way: a route has too few to look at each way by itself.
+// areRoutesHealthy reports the same for each route that has enough sends, by responses that
+// are bad by any measure: a route has too few for a test of each measure.
 func areRoutesHealthy(e Evidence, minRatio float64) bool {
 	total := e.Total().sends()
 	for route, pair := range e.Routes {
@@ -188,10 +198,11 @@
 	return true
 }
 
-// healthyRatio is the likelihood ratio of a version that is as good as the baseline to one
-// whose part of bad answers is greater by a margin (Wald's test). Each slice is compared
-// with the baseline of the same time, as far as there is any, base being that of all the
-// time: what disturbed both for a while neither speaks for the version nor against it.
+// healthyRatio returns the likelihood ratio of a version as good as the baseline to one
+// whose share of bad responses is greater by a margin (Wald's sequential probability ratio
+// test). Each slice is compared with the baseline of the same time as far as there is any,
+// base holding the counts of all the time, so that a temporary disturbance of both versions
+// counts neither for the version nor against it.
 func (m measure) healthyRatio(e Evidence, base Routes, route string, margin float64) float64 {
 	overall := m.expectedShare(base.pair(route).Baseline)
 	log := 0.0
@@ -208,7 +219,7 @@
 	return math.Exp(log)
 }
 
-// pair is one route, or all.
+// pair returns the counts of one route, or of all routes for allRoutes.
 func (r Routes) pair(route string) Pair {
 	if route == allRoutes {
 		return r.Total()
--- a/core/gateway/rollout/assign.go
+++ b/core/gateway/rollout/assign.go
@@ -12,7 +12,7 @@
 // FullShare is the share of all requests, in thousandths.
 const FullShare = 1000
 
-// Assignment is which targets of a service take requests while one of its versions is on
+// Assignment says which targets of a service take requests while one of its versions is on
 // trial.
 type Assignment struct {
 	rollout  catalog.Rollout
@@ -21,12 +21,13 @@
 	canary   []catalog.Target
 }
 
-// Assign divides a service's targets that take requests. onTrial says that the ordered
+// Assign divides the targets of a service that take requests. onTrial says that the ordered
 // version is not the one in service (Versions.OnTrial).
 //
-// The canary's share goes to so few of its targets that each is as full as all will be in
-// the end: a version that is bad under load alone shows nothing where its share is spread
-// thin. All gateways take the same ones, and those of a stage are among those of the next.
+// The canary's share goes to so few of its targets that each has the utilization that all
+// targets will have in the end: a version that is bad only under load would look healthy if
+// its share were spread over all of them. All gateways choose the same targets, and those
+// of one stage include those of the stage before.
 func Assign(r catalog.Rollout, targets []catalog.Target, onTrial bool) Assignment {
 	a := Assignment{rollout: r}
 	if r.State == catalog.RolloutCompleted || !onTrial {
@@ -52,11 +53,11 @@
 	return a
 }
 
-// canarySize is how many of a version's targets take its share.
+// canarySize returns how many of a version's targets take its share.
 func canarySize(permille, targets int) int { return (permille*targets + FullShare - 1) / FullShare }
 
-// rank orders targets by a hash of their id with the order, the same for all gateways
-// (rendezvous hashing).
+// rank orders targets by a hash of their id with the order (rendezvous hashing), the same
+// on all gateways.
 func rank(r catalog.Rollout, targets []catalog.Target) []catalog.Target {
 	score := func(t catalog.Target) uint64 {
 		return xxhash.Sum64String(r.Service + "\x00" + r.Version + "\x00" + t.ID)
@@ -67,7 +68,7 @@
 	return targets
 }
 
-// Baseline lists the targets that take the requests that the canary doesn't.
+// Baseline lists the targets that take the requests that don't go to the canary.
 func (a Assignment) Baseline() []catalog.Target { return a.baseline }
 
 // Canary lists the targets of the version on trial that take its share.
@@ -76,12 +77,13 @@
 // Permille is the share of the requests that the canary takes, in thousandths.
 func (a Assignment) Permille() int { return a.permille }
 
-// Rollout is the rollout by which it was made.
+// Rollout is the rollout for which the assignment was made.
 func (a Assignment) Rollout() catalog.Rollout { return a.rollout }
 
-// TakesCanary says whether the canary takes a request, by a draw uniform in [0, 1).
+// TakesCanary reports whether the canary takes a request, by a random draw uniform in [0,
+// 1).
 func (a Assignment) TakesCanary(draw float64) bool { return draw*FullShare < float64(a.permille) }
 
-// TakesAll says whether the ordered version takes all requests, repeats and hedges as
-// well, though the rollout is not completed.
+// TakesAll reports whether the ordered version takes all requests, retries and hedges
+// included, though the rollout is not completed.
 func (a Assignment) TakesAll() bool { return a.permille >= FullShare }
--- a/core/gateway/rollout/assign_test.go
+++ b/core/gateway/rollout/assign_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestAssignKeepsTheTargetsOfEarlierStages(t *testing.T) {
+func TestCanaryTargetsOfEarlierStagesAreKept(t *testing.T) {
 	both := append(targets("1", 30), targets("2", 30)...)
 	met := map[string]bool{}
 	for _, permille := range []int{50, 200, 1000} {
@@ -58,17 +58,17 @@
 		}
 		for id := range met {
 			if !now[id] {
-				t.Errorf("%s is left at %d‰", id, permille)
+				t.Errorf("%s of an earlier stage is not in the canary at %d‰", id, permille)
 			}
 		}
 		met = now
 	}
 }
 
-func TestTakesCanary(t *testing.T) {
+func TestTakesCanaryComparesTheDrawWithTheShare(t *testing.T) {
 	both := append(targets("1", 3), targets("2", 3)...)
 	a := Assign(order(catalog.RolloutRunning, 250), both, true)
 	if !a.TakesCanary(0) || !a.TakesCanary(.2499) || a.TakesCanary(.25) || a.TakesCanary(.999) {
-		t.Error("a draw below the share alone is the canary's")
+		t.Error("want only draws below the share to select the canary")
 	}
 }
--- a/core/gateway/rollout/decide.go
+++ b/core/gateway/rollout/decide.go
@@ -7,88 +7,91 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// Limits bound what a bad version may get.
+// Limits bound the exposure to a bad version.
 type Limits struct {
-	// Share is the part of all requests of the service, from the order to its deadline,
-	// that may reach a bad version, and Slack how many may do so besides.
+	// Share is the share of all requests of the service, from the order to its deadline,
+	// that may reach a bad version, and Slack the number of requests allowed in addition.
 	Share float64
 	Slack int
-	// RollBackWithin is how soon after the Slack-th bad answer nothing may be sent to it.
+	// RollBackWithin is the time after the Slack-th bad response within which requests to
+	// the version must stop.
 	RollBackWithin time.Duration
-	// DrainWait is how long a send to the baseline may be under way at most; 0 means
-	// longestDrain.
+	// DrainWait bounds how long a send to the baseline may be in flight; 0 means
+	// defaultDrainWait.
 	DrainWait time.Duration
 }
 
-// State is what a decision goes by.
+// State is the input of a decision.
 type State struct {
 	Order  catalog.Rollout
 	Limits Limits
-	// Age is how old the order is, and StageAge how long ago its stage was recorded, or
+	// Age is the age of the order, and StageAge the time since its stage was recorded, or
 	// was first seen by this process.
 	Age      time.Duration
 	StageAge time.Duration
 	// OnTrial says that the ordered version is not the one in service.
 	OnTrial bool
-	// Baseline and Canary are how many targets of the versions take requests, and Warm how
-	// many of the latter are not cold.
+	// Baseline and Canary are the numbers of targets of the two versions that take
+	// requests, and Warm the number of canary targets that are not cold.
 	Baseline int
 	Canary   int
 	Warm     int
 	Evidence Evidence
-	// Behind are the gateways in touch that have not reported to send by the stage, and
-	// BaselineActive how many sends to the baseline are under way (Ledger).
+	// Behind lists the reachable gateways that have not reported that they apply the stage,
+	// and BaselineActive is the number of sends to the baseline in flight (ReportLog).
 	Behind         []Lag
 	BaselineActive int
 }
 
-// Action is what is to be done.
+// Action is what a decision does.
 type Action uint8
 
-// Verbs of a decision.
+// Actions of a decision.
 const (
-	// Wait is to record nothing.
+	// Wait records nothing.
 	Wait Action = iota
-	// Advance is to record a greater share.
+	// Advance records a greater share.
 	Advance
-	// Complete and RollBack are to record the end.
+	// Complete and RollBack record the end of the rollout.
 	Complete
 	RollBack
 )
 
-// String names a verb as log lines do.
+// String returns an action's name in log lines.
 func (v Action) String() string { return [...]string{"wait", "advance", "complete", "roll back"}[v] }
 
-// Reason is why a decision was taken.
+// Reason is why a decision was made.
 type Reason uint8
 
 // Reasons of decisions.
 const (
-	// ReasonPending is that of waiting for evidence, time or reports.
+	// ReasonPending: waiting for evidence, time or reports.
 	ReasonPending Reason = iota
-	// ReasonOrdered is that of the first stage.
+	// ReasonOrdered: the first stage begins.
 	ReasonOrdered
-	// ReasonHealthy is that of the next stage: nothing speaks against it.
+	// ReasonHealthy: the next stage begins, with no evidence against the version.
 	ReasonHealthy
-	// ReasonTrafficShifted is that of completing: the baseline gets nothing any more.
+	// ReasonTrafficShifted: completed, since the baseline gets no more requests, or the
+	// wait for its sends in flight has timed out.
 	ReasonTrafficShifted
-	// ReasonLimitReached is that of completing in the last moment in which the time or the exposure
-	// allows it: sends to the baseline may be under way, and are cut with its targets.
+	// ReasonLimitReached: completed at the last moment that the time or the exposure limit
+	// allows. Sends to the baseline may be in flight, and are cut off when its targets
+	// stop.
 	ReasonLimitReached
-	// ReasonInService is that of completing at once: the version is in service already.
+	// ReasonInService: completed at once, since the version is already in service.
 	ReasonInService
-	// ReasonFailures and ReasonSlow are those of rolling back by comparison.
+	// ReasonFailures and ReasonSlow: rolled back by the comparison with the baseline.
 	ReasonFailures
 	ReasonSlow
-	// ReasonInconclusive is that of rolling back where the version is not proved in time, and
-	// ReasonDeadline where the order's time is over.
+	// ReasonInconclusive: rolled back, since the version was not proved healthy in time;
+	// ReasonDeadline: rolled back, since the order's time is over.
 	ReasonInconclusive
 	ReasonDeadline
-	// ReasonNoTargets is that of rolling back where no target of the version is there.
+	// ReasonNoTargets: rolled back, since the version has no targets.
 	ReasonNoTargets
 )
 
-// String names a reason as log lines do.
+// String returns a reason's name in log lines.
 func (r Reason) String() string {
 	return [...]string{
 		"time", "ordered", "sound", "moved", "last moment", "in service", "failures", "slow answers", "not proved in time", "deadline",
@@ -96,18 +99,18 @@
 	}[r]
 }
 
-// Decision is what is to be recorded, and why.
+// Decision is what to record, and why.
 type Decision struct {
 	Action Action
-	// Permille is the share to record when it is to advance.
+	// Permille is the share to record if Action is Advance.
 	Permille int
 	Reason   Reason
-	// Age is that of the order.
+	// Age is the age of the order.
 	Age time.Duration
-	// Route is the one that speaks most against the version, "" for all together, and Span
-	// the latest time in which it does, 0 for all since the order. Pair holds its counts in
-	// that time, and Statistic says how many times likelier these are of a bad version; from
-	// Threshold on the version is rolled back.
+	// Route is the one with the strongest evidence against the version, "" for all
+	// together, and Span the latest time in which it was found, 0 for all since the order.
+	// Pair holds the route's counts in that time, and Statistic says how many times
+	// likelier these are for a bad version; from Threshold on the version is rolled back.
 	Route     string
 	Span      time.Duration
 	Pair      Pair
@@ -115,7 +118,7 @@
 	Threshold float64
 }
 
-// Decide says what is to be done of a rollout.
+// Decide returns what to do with a rollout.
 func Decide(s State) Decision {
 	d := Decision{Age: s.Age, Permille: s.Order.Permille, Pair: s.Evidence.Total()}
 	switch {
@@ -135,7 +138,7 @@
 	return d
 }
 
-// evaluate decides on a rollout that runs.
+// evaluate decides on a running rollout.
 func (s State) evaluate(d Decision) Decision {
 	strongest := strongestFinding(s.Evidence)
 	d.Route, d.Pair, d.Span, d.Statistic, d.Threshold = strongest.route, strongest.pair, strongest.span, strongest.statistic, s.statisticThreshold()
@@ -148,7 +151,7 @@
 	case s.isTooLateForLastStage() || s.isExposureSpent():
 		return d.with(RollBack, s.unprovenReason())
 	}
-	// One that has just taken over has no reports yet.
+	// A gateway that has just taken over has no reports yet.
 	next, reported := s.nextShare(), s.Evidence.Total().sends() > 0
 	if reported && next > s.Order.Permille && (healthy || next < FullShare && strongest.statistic < urgentRollbackRatio) {
 		return d.advance(next, ReasonHealthy)
@@ -156,9 +159,10 @@
 	return d
 }
 
-// isHealthy says whether the version may take all requests, or be completed: nothing speaks
-// against it since the order; or little does, and nothing since the stage began: in the
-// stage before, the canary may have been so few targets that faulty ones weighed much.
+// isHealthy reports whether the version may take all requests, or be completed: there is no
+// evidence against it since the order; or there is little, and none since the stage began.
+// In the stage before, the canary may have had so few targets that faulty ones had a large
+// effect.
 func (s State) isHealthy(w finding) bool {
 	if w.statistic < suspectRatio && isTotalHealthy(s.Evidence, s.Evidence.Routes, acceptRatio) {
 		return true
@@ -168,8 +172,9 @@
 		isTotalHealthy(stage, s.Evidence.Routes, stageAcceptRatio)
 }
 
-// statisticThreshold is the statistic from which on a version is bad. Less is enough once half the time
-// is over in which it must be rolled back: that time begins with its Slack-th bad answer.
+// statisticThreshold returns the statistic from which on a version is rolled back. It is
+// lower once half of RollBackWithin has passed, which begins with the Slack-th bad
+// response.
 func (s State) statisticThreshold() float64 {
 	if s.Evidence.badResponsesBefore(s.Limits.RollBackWithin/2) >= uint64(max(s.Limits.Slack, 1)) {
 		return urgentRollbackRatio
@@ -177,8 +182,8 @@
 	return rollbackRatio
 }
 
-// decideLastStage decides on the last stage: it ends when the baseline gets nothing any more, or
-// when waiting longer would expose or delay too much.
+// decideLastStage decides on the last stage. It ends when the baseline gets no more
+// requests, or when further waiting would exceed the time or the exposure limit.
 func (s State) decideLastStage(d Decision, healthy bool) Decision {
 	isShifted := len(s.Behind) == 0 && s.BaselineActive == 0
 	drainTimedOut := s.StageAge >= cmp.Or(s.Limits.DrainWait, defaultDrainWait)
@@ -199,10 +204,12 @@
 	return d
 }
 
-// isTooLateForLastStage says whether there is no time left for the last stage.
-func (s State) isTooLateForLastStage() bool { return s.Age >= latestEndAge(s.Order.Within)-lastStageDuration }
+// isTooLateForLastStage reports whether there is no time left for the last stage.
+func (s State) isTooLateForLastStage() bool {
+	return s.Age >= latestEndAge(s.Order.Within)-lastStageDuration
+}
 
-// unprovenReason is why a version is not proved.
+// unprovenReason returns why a version was not proved healthy.
 func (s State) unprovenReason() Reason {
 	if s.Canary == 0 {
 		return ReasonNoTargets
--- a/core/gateway/rollout/decide_test.go
+++ b/core/gateway/rollout/decide_test.go
@@ -9,15 +9,15 @@
 
 var limits = Limits{Share: .1, Slack: 50, RollBackWithin: 5 * time.Second, DrainWait: 10 * time.Second}
 
-// ofOrder is the state of an order of 12 s with 20 warm targets of each version.
-func ofOrder(r catalog.Rollout, age time.Duration) State {
+// stateOf returns the state of an order of 12 s with 20 warm targets of each version.
+func stateOf(r catalog.Rollout, age time.Duration) State {
 	r.Within = 12 * time.Second
 	return State{Order: r, Limits: limits, Age: age, StageAge: age, OnTrial: true, Baseline: 20, Canary: 20, Warm: 20}
 }
 
-// answers is evidence of a version that fails as said, of a service with 600 requests a
-// second for six seconds.
-func answers(canary, failed uint64) Evidence {
+// evidenceOf returns the evidence on a version with the given counts, of a service with 600
+// requests per second for six seconds.
+func evidenceOf(canary, failed uint64) Evidence {
 	e := Evidence{Routes: Routes{"r": {
 		Baseline: Counts{Sends: 3600, Failed: 10}, Canary: Counts{Sends: canary, Failed: failed},
 	}}}
@@ -41,33 +41,33 @@
 		verb   Action
 		reason Reason
 	}{
-		{"ordered", ofOrder(ordered, time.Second), Advance, ReasonOrdered},
-		{"no targets yet", with(ofOrder(ordered, time.Second), func(s *State) { s.Canary = 0 }), Wait, ReasonPending},
-		{"no targets at all", with(ofOrder(ordered, 10*time.Second), func(s *State) { s.Canary = 0 }), RollBack, ReasonNoTargets},
-		{"in service", with(ofOrder(ordered, 0), func(s *State) { s.OnTrial, s.Canary = false, 0 }), Complete, ReasonInService},
-		{"no time at all", with(ofOrder(ordered, 0), func(s *State) { s.Order.Within = 0 }), RollBack, ReasonDeadline},
-		{"past the deadline", ofOrder(running, 13*time.Second), RollBack, ReasonDeadline},
-		{"age not known", ofOrder(running, unknownAge), RollBack, ReasonDeadline},
-		{"early", with(ofOrder(running, 3*time.Second), evidence(answers(100, 0))), Wait, ReasonPending},
-		{"sound", with(ofOrder(running, 7*time.Second), evidence(answers(200, 0))), Advance, ReasonHealthy},
-		{"nothing reported yet", ofOrder(running, 7*time.Second), Wait, ReasonPending},
-		{"sound but cold", with(ofOrder(running, 7*time.Second), evidence(answers(200, 0)), func(s *State) { s.Warm = 0 }), Wait, ReasonPending},
-		{"failing", with(ofOrder(running, 3*time.Second), evidence(answers(20, 8))), RollBack, ReasonFailures},
-		{"few answers, late", with(ofOrder(running, 10*time.Second), evidence(answers(5, 0))), RollBack, ReasonInconclusive},
-		{"all targets lost", with(ofOrder(running, 10*time.Second), func(s *State) { s.Canary = 0 }), RollBack, ReasonNoTargets},
-		{"too many requests", with(ofOrder(running, 3*time.Second), evidence(answers(900, 0))), RollBack, ReasonInconclusive},
-		{"moved", with(ofOrder(last, 8*time.Second), evidence(answers(300, 0))), Complete, ReasonTrafficShifted},
-		{"a gateway is behind", with(ofOrder(last, 8*time.Second), evidence(answers(300, 0)),
+		{"ordered", stateOf(ordered, time.Second), Advance, ReasonOrdered},
+		{"no targets yet", with(stateOf(ordered, time.Second), func(s *State) { s.Canary = 0 }), Wait, ReasonPending},
+		{"no targets at all", with(stateOf(ordered, 10*time.Second), func(s *State) { s.Canary = 0 }), RollBack, ReasonNoTargets},
+		{"in service", with(stateOf(ordered, 0), func(s *State) { s.OnTrial, s.Canary = false, 0 }), Complete, ReasonInService},
+		{"zero duration", with(stateOf(ordered, 0), func(s *State) { s.Order.Within = 0 }), RollBack, ReasonDeadline},
+		{"past the deadline", stateOf(running, 13*time.Second), RollBack, ReasonDeadline},
+		{"unknown age", stateOf(running, unknownAge), RollBack, ReasonDeadline},
+		{"early", with(stateOf(running, 3*time.Second), evidence(evidenceOf(100, 0))), Wait, ReasonPending},
+		{"sound", with(stateOf(running, 7*time.Second), evidence(evidenceOf(200, 0))), Advance, ReasonHealthy},
+		{"nothing reported yet", stateOf(running, 7*time.Second), Wait, ReasonPending},
+		{"sound but cold", with(stateOf(running, 7*time.Second), evidence(evidenceOf(200, 0)), func(s *State) { s.Warm = 0 }), Wait, ReasonPending},
+		{"failing", with(stateOf(running, 3*time.Second), evidence(evidenceOf(20, 8))), RollBack, ReasonFailures},
+		{"few responses, late", with(stateOf(running, 10*time.Second), evidence(evidenceOf(5, 0))), RollBack, ReasonInconclusive},
+		{"all targets lost", with(stateOf(running, 10*time.Second), func(s *State) { s.Canary = 0 }), RollBack, ReasonNoTargets},
+		{"exposure limit reached", with(stateOf(running, 3*time.Second), evidence(evidenceOf(900, 0))), RollBack, ReasonInconclusive},
+		{"traffic shifted", with(stateOf(last, 8*time.Second), evidence(evidenceOf(300, 0))), Complete, ReasonTrafficShifted},
+		{"a gateway is behind", with(stateOf(last, 8*time.Second), evidence(evidenceOf(300, 0)),
 			func(s *State) { s.Behind = []Lag{{Gateway: "a"}} }), Wait, ReasonPending},
-		{"old sends under way", with(ofOrder(last, 8*time.Second), evidence(answers(300, 0)),
+		{"baseline sends in flight", with(stateOf(last, 8*time.Second), evidence(evidenceOf(300, 0)),
 			func(s *State) { s.BaselineActive = 1 }), Wait, ReasonPending},
-		{"old sends under way too long", with(ofOrder(last, 10500*time.Millisecond), evidence(answers(300, 0)),
+		{"baseline sends in flight for longer than the drain wait", with(stateOf(last, 10500*time.Millisecond), evidence(evidenceOf(300, 0)),
 			func(s *State) { s.BaselineActive = 1 }), Complete, ReasonTrafficShifted},
-		{"old sends under way in the last moment", with(ofOrder(last, 10500*time.Millisecond), evidence(answers(300, 0)),
+		{"baseline sends in flight at the time limit", with(stateOf(last, 10500*time.Millisecond), evidence(evidenceOf(300, 0)),
 			func(s *State) { s.BaselineActive, s.StageAge, s.Limits.DrainWait = 1, time.Second, time.Minute }), Complete, ReasonLimitReached},
-		{"doubt in the last stage", with(ofOrder(last, 10500*time.Millisecond), evidence(answers(300, 40))), RollBack, ReasonFailures},
-		{"completed", ofOrder(order(catalog.RolloutCompleted, 1000), 20*time.Second), Wait, ReasonPending},
-		{"rolled back", with(ofOrder(order(catalog.RolloutRolledBack, 50), time.Second), evidence(answers(200, 0))), Wait, ReasonPending},
+		{"failures in the last stage", with(stateOf(last, 10500*time.Millisecond), evidence(evidenceOf(300, 40))), RollBack, ReasonFailures},
+		{"completed", stateOf(order(catalog.RolloutCompleted, 1000), 20*time.Second), Wait, ReasonPending},
+		{"rolled back", with(stateOf(order(catalog.RolloutRolledBack, 50), time.Second), evidence(evidenceOf(200, 0))), Wait, ReasonPending},
 	} {
 		d := Decide(c.state)
 		if d.Action != c.verb || d.Reason != c.reason {
@@ -79,10 +79,10 @@
 	}
 }
 
-func TestShareNeverFalls(t *testing.T) {
+func TestShareNeverDecreases(t *testing.T) {
 	for seed := range 20 {
 		share := 0
-		p := play{seed: uint64(seed), within: 12 * time.Second, rate: 170, targets: 30, trouble: trouble{hit: .15, fails: .4}}
+		p := simulation{seed: uint64(seed), within: 12 * time.Second, rate: 170, targets: 30, disturbance: disturbance{affected: .15, fails: .4}}
 		p.decide = func(s State) Decision {
 			d := Decide(s)
 			if d.Action == Advance && d.Permille <= share {
@@ -95,10 +95,10 @@
 	}
 }
 
-func TestRolloutsOfMinutesAndFewWrites(t *testing.T) {
-	for _, f := range []flaw{{}, {fails: .3, from: 4 * time.Minute}} {
+func TestLongRolloutNeedsFewWrites(t *testing.T) {
+	for _, f := range []defect{{}, {fails: .3, start: 4 * time.Minute}} {
 		writes := 0
-		p := play{within: 10 * time.Minute, rate: 20, targets: 30, flaw: f}
+		p := simulation{within: 10 * time.Minute, rate: 20, targets: 30, defect: f}
 		p.decide = func(s State) Decision {
 			d := Decide(s)
 			if d.Action != Wait {
@@ -112,7 +112,7 @@
 			want = RollBack
 		}
 		if r.end.Action != want || writes > 6 || r.exposed > r.allowed {
-			t.Errorf("%+v: %v for %v at %v, %d writes, %.0f of %.0f requests", f, r.end.Action, r.end.Reason, r.at, writes, r.exposed, r.allowed)
+			t.Errorf("%+v: %v for %v at %v, %d writes, %.0f of %.0f requests", f, r.end.Action, r.end.Reason, r.endedAt, writes, r.exposed, r.allowed)
 		}
 	}
 }
--- a/core/gateway/rollout/evidence.go
+++ b/core/gateway/rollout/evidence.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Counts are how sends to targets of one version ended. They only grow.
+// Counts are the outcomes of sends to targets of one version. They never decrease.
 type Counts struct {
 	// Sends are those that have ended, or are overdue.
 	Sends uint64
-	// Failed are those that failed, broke off or brought a wrong answer.
+	// Failed are those that failed, were cut off, or returned an invalid response.
 	Failed uint64
-	// Slow are those that took longer than a multiple of what the route usually takes,
-	// those that were given up after that among them; none to a target that is cold.
+	// Slow are those that took longer than a multiple of the route's usual latency,
+	// including those that were abandoned after that; sends to cold targets don't count.
 	Slow uint64
-	// Cold are the sends to targets that were cold, which say nothing of slowness.
+	// Cold are the sends to cold targets, which are ignored in the test for slowness.
 	Cold uint64
 }
 
-// Plus adds counts.
+// Plus returns the sum of the counts.
 func (c Counts) Plus(d Counts) Counts {
 	return Counts{
 		Sends: c.Sends + d.Sends, Failed: c.Failed + d.Failed, Slow: c.Slow + d.Slow, Cold: c.Cold + d.Cold,
 	}
 }
 
-// Minus takes away earlier counts of the same sends.
+// Minus subtracts earlier counts of the same sends.
 func (c Counts) Minus(d Counts) Counts {
 	return Counts{
 		Sends: saturatingSub(c.Sends, d.Sends), Failed: saturatingSub(c.Failed, d.Failed),
@@ -33,53 +33,53 @@
 	}
 }
 
-// saturatingSub is a minus b, 0 where b is greater: where reports contradict each other.
+// saturatingSub returns a minus b, or 0 where b is greater, which happens where reports
+// contradict each other.
 func saturatingSub(a, b uint64) uint64 { return max(a, b) - b }
 
-// RouteCounts are those of one route and one side of the comparison.
+// RouteCounts are the counts of one route and one of the two versions that are compared.
 type RouteCounts struct {
 	Route string
-	// Canary says that they are of the ordered version, not of the baseline.
+	// Canary says that the counts are of the ordered version, not of the baseline.
 	Canary bool
 	Counts Counts
 }
 
-// Report is what one gateway sends the deciding one about one rollout.
+// Report is what a gateway sends to the deciding gateway about one rollout.
 type Report struct {
 	Gateway string
-	// Start orders the lives of one gateway's process.
+	// Start orders the incarnations of one gateway's process.
 	Start   uint64
 	Service string
 	Version string
-	// Permille is the share of the stage by which the gateway sends.
+	// Permille is the share of the stage that the gateway applies.
 	Permille int
-	// BaselineActive and CanaryActive are how many of its sends to the versions are under
-	// way.
+	// BaselineActive and CanaryActive are the gateway's sends to the versions in flight.
 	BaselineActive int
 	CanaryActive   int
-	// Counts are all since the process met the order.
+	// Counts are the totals since the process first saw the order.
 	Counts []RouteCounts
 }
 
-// Pair is the two sides of the comparison.
+// Pair holds the counts of the two versions that are compared.
 type Pair struct{ Baseline, Canary Counts }
 
 func (p Pair) plus(q Pair) Pair {
 	return Pair{Baseline: p.Baseline.Plus(q.Baseline), Canary: p.Canary.Plus(q.Canary)}
 }
 
-// minus takes away earlier counts.
+// minus subtracts earlier counts.
 func (p Pair) minus(q Pair) Pair {
 	return Pair{Baseline: p.Baseline.Minus(q.Baseline), Canary: p.Canary.Minus(q.Canary)}
 }
 
-// sends is how many sends both sides have.
+// sends returns the sends to both versions.
 func (p Pair) sends() uint64 { return p.Baseline.Sends + p.Canary.Sends }
 
-// Routes are the two sides by route.
+// Routes holds the counts of the two versions by route.
 type Routes map[string]Pair
 
-// Total sums the routes.
+// Total returns the sum over all routes.
 func (r Routes) Total() (sum Pair) {
 	for _, p := range r {
 		sum = sum.plus(p)
@@ -87,7 +87,7 @@
 	return sum
 }
 
-// since is what was added to earlier counts.
+// since returns the increase over earlier counts.
 func (r Routes) since(earlier Routes) Routes {
 	out := make(Routes, len(r))
 	for route, p := range r {
@@ -96,8 +96,8 @@
 	return out
 }
 
-// addDelta adds, in place, what one life of a gateway's process has counted since it reported
-// before; nil where it had not.
+// addDelta adds, in place, what one incarnation of a gateway's process has counted since
+// its previous report; previous is nil if there is none.
 func (r Routes) addDelta(counts, previous []RouteCounts) {
 	for _, c := range counts {
 		delta := c.Counts
@@ -116,7 +116,7 @@
 	}
 }
 
-// plus adds the counts of another time.
+// plus returns the sum with the counts of another span of time.
 func (r Routes) plus(other Routes) Routes {
 	out := make(Routes, len(r)+len(other))
 	maps.Copy(out, r)
@@ -126,32 +126,32 @@
 	return out
 }
 
-// Slice is what was reported in one span of time: it began Age ago and ended where the next
-// later slice begins.
+// Slice holds the counts reported in one span of time, which began Age ago and ended where
+// the next later slice begins.
 type Slice struct {
 	Age    time.Duration
 	Routes Routes
 }
 
-// Evidence is what all reports say together.
+// Evidence is the sum of all reports.
 type Evidence struct {
-	// Routes are the counts of all gateways since the order. Slices divide them by time, the
-	// latest first: a version may turn bad late, and what disturbs both versions for a while
-	// is seen in slices of that while alone. The oldest also holds what gateways had counted
-	// when they were first learnt of.
+	// Routes are the counts of all gateways since the order. Slices divide them by time,
+	// the latest first: a version may turn bad late, and a temporary disturbance of both
+	// versions shows only in the slices of its time. The oldest slice also holds what
+	// gateways had counted before their first reports.
 	Routes Routes
 	Slices []Slice
-	// CanaryActive is how many sends to the canary are under way.
+	// CanaryActive is the number of sends to the canary in flight.
 	CanaryActive int
-	// Reports is how many gateways have reported.
+	// Reports is the number of gateways that have reported.
 	Reports int
 }
 
-// Total sums the routes.
+// Total returns the sum over all routes.
 func (e Evidence) Total() Pair { return e.Routes.Total() }
 
-// since is what was reported in the latest slices that began no longer ago than an age,
-// and how long ago the first of them did.
+// since returns the counts of the latest slices that began at most age ago, and how long
+// ago the first of these began.
 func (e Evidence) since(age time.Duration) (Routes, time.Duration) {
 	sum, span := Routes{}, time.Duration(0)
 	for _, s := range e.Slices {
@@ -163,7 +163,7 @@
 	return sum, span
 }
 
-// within is the evidence of the slices that began no longer ago than an age.
+// within returns the evidence of the slices that began at most age ago.
 func (e Evidence) within(age time.Duration) Evidence {
 	e.Routes, _ = e.since(age)
 	n := 0
@@ -175,15 +175,15 @@
 }
 
 const (
-	// rateWindow is over how long the rate of a service is measured: long enough for some
-	// reports of each gateway, short enough to follow a burst. leastRateSpan is the least
-	// from which one is sent.
-	rateWindow      = 1500 * time.Millisecond
+	// rateWindow is the time over which the rate of a service is measured: long enough for
+	// some reports of each gateway, short enough to follow a burst. minRateWindow is the
+	// shortest time that gives a rate.
+	rateWindow    = 1500 * time.Millisecond
 	minRateWindow = 700 * time.Millisecond
 )
 
-// rate is how many sends a second the service gets; 0 where nothing was reported for long
-// enough.
+// rate returns the sends per second of the service, or 0 where the reports cover too short
+// a time.
 func (e Evidence) rate() float64 {
 	routes, span := e.since(rateWindow)
 	if span < minRateWindow {
@@ -192,7 +192,8 @@
 	return float64(routes.Total().sends()) / span.Seconds()
 }
 
-// badResponsesBefore is how many bad answers of the canary were reported longer ago than a time.
+// badResponsesBefore returns how many bad responses of the canary were reported longer ago
+// than a time.
 func (e Evidence) badResponsesBefore(ago time.Duration) uint64 {
 	routes, _ := e.since(ago)
 	c := e.Total().Canary.Minus(routes.Total().Canary)
--- a/core/gateway/rollout/evidence_test.go
+++ b/core/gateway/rollout/evidence_test.go
@@ -13,21 +13,21 @@
 	}}
 }
 
-func TestLedgerCountsNothingTwice(t *testing.T) {
+func TestReportLogCountsEachSendOnce(t *testing.T) {
 	l := NewReportLog()
 	l.Add(start, report("a", 1, 10, 1))
-	l.Add(start, report("a", 1, 20, 2)) // in place of the one before
-	l.Add(start, report("a", 1, 15, 1)) // overtaken on its way
+	l.Add(start, report("a", 1, 20, 2)) // replaces the one before
+	l.Add(start, report("a", 1, 15, 1)) // delivered out of order
 	l.Add(start, report("b", 1, 5, 0))
-	l.Add(start, report("b", 2, 3, 3)) // a new life
-	l.Add(start, report("b", 1, 6, 0)) // late, of the life before
+	l.Add(start, report("b", 2, 3, 3)) // a new incarnation
+	l.Add(start, report("b", 1, 6, 0)) // late, of the incarnation before
 	got := l.Evidence(start).Total().Canary
 	if want := (Counts{Sends: 28, Failed: 5}); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
 }
 
-func TestLedgerSaysWhoIsBehind(t *testing.T) {
+func TestReportLogListsGatewaysThatAreBehind(t *testing.T) {
 	l := NewReportLog()
 	l.Add(start, Report{Gateway: "a", Permille: 1000, BaselineActive: 2})
 	l.Add(start, Report{Gateway: "b", Permille: 500})
@@ -38,11 +38,11 @@
 		t.Errorf("behind: %+v", got)
 	}
 	if n := l.BaselineActive(touch); n != 2 {
-		t.Errorf("%d under way, want 2", n)
+		t.Errorf("%d in flight, want 2", n)
 	}
 }
 
-func TestEvidenceIsDividedByTime(t *testing.T) {
+func TestEvidenceIsSplitIntoTimeSlices(t *testing.T) {
 	l := NewReportLog()
 	for i := range 400 { // 100 s
 		l.Add(start.Add(time.Duration(i)*snapshotInterval), report("a", 1, 5+uint64(10*i), uint64(max(0, i-390))))
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSuccessorTakesHistoryForOld(t *testing.T) {
+func TestInitialCountsOfAGatewayAreNotRecent(t *testing.T) {
 	l := NewReportLog()
 	l.Add(start, report("a", 1, 1000, 500))
 	l.Add(start.Add(time.Second), report("b", 1, 1000, 500))
--- a/core/gateway/rollout/ledger.go
+++ b/core/gateway/rollout/ledger.go
@@ -8,15 +8,16 @@
 
 const (
 	// snapshotInterval is the least time between two snapshots, from which slices are made:
-	// about the time between two reports of a gateway.
+	// about the report interval of a gateway.
 	snapshotInterval = 250 * time.Millisecond
-	// maxSnapshotGapShare is how far apart two neighbouring snapshots may be, as a part of their
-	// age: a dozen for each tenfold age, so that few are kept in a rollout of hours.
+	// maxSnapshotGapShare is how far apart two adjacent snapshots may be, as a share of
+	// their age: this keeps a dozen for each tenfold age, so that few are kept in a rollout
+	// of hours.
 	maxSnapshotGapShare = 0.2
 )
 
-// ReportLog holds the latest report of each gateway on one rollout. It is not safe for
-// concurrent use.
+// ReportLog holds the latest report of each gateway on one rollout, and the sum of all. It
+// is not safe for concurrent use.
 type ReportLog struct {
 	gateways map[string]*gatewayReport
 	sum      Routes
@@ -24,7 +25,7 @@
 	snapshots []snapshot
 }
 
-// gatewayReport is what is known of one gateway.
+// gatewayReport is the latest report of one gateway, and when it was received.
 type gatewayReport struct {
 	at     time.Time
 	latest Report
@@ -36,11 +37,13 @@
 	sum Routes
 }
 
-// NewReportLog makes an empty one.
-func NewReportLog() *ReportLog { return &ReportLog{gateways: map[string]*gatewayReport{}, sum: Routes{}} }
+// NewReportLog returns an empty ReportLog.
+func NewReportLog() *ReportLog {
+	return &ReportLog{gateways: map[string]*gatewayReport{}, sum: Routes{}}
+}
 
-// Add takes in a report, unless a later one of that gateway is there. What a gateway
-// counts in a new life of its process adds to what it counted before.
+// Add records a report, unless there is a later one of that gateway. The counts of a new
+// incarnation of the gateway's process are added to those of the earlier ones.
 func (l *ReportLog) Add(now time.Time, r Report) {
 	l.takeSnapshot(now)
 	e, known := l.gateways[r.Gateway]
@@ -52,14 +55,14 @@
 	case r.Start > e.latest.Start:
 		l.sum.addDelta(r.Counts, nil)
 	case r.Start < e.latest.Start || sends(r) < sends(e.latest):
-		return // overtaken on its way
+		return // older than the latest report, delivered out of order
 	default:
 		l.sum.addDelta(r.Counts, e.latest.Counts)
 	}
 	e.at, e.latest = now, r
 }
 
-// sends is how many sends a report counts.
+// sends returns the number of sends in a report.
 func sends(r Report) (sum uint64) {
 	for _, c := range r.Counts {
 		sum += c.Counts.Sends
@@ -67,8 +70,9 @@
 	return sum
 }
 
-// addInitialCounts adds what a gateway had counted before it was first learnt of: to a successor
-// all report all that they have counted since the order, which no slice may show as new.
+// addInitialCounts adds what a gateway had counted before its first report to this process.
+// To a new decider all gateways report all that they have counted since the order, which no
+// slice may show as new.
 func (l *ReportLog) addInitialCounts(counts []RouteCounts) {
 	l.sum.addDelta(counts, nil)
 	for _, s := range l.snapshots {
@@ -76,7 +80,7 @@
 	}
 }
 
-// takeSnapshot keeps the sum as it is, if the last snapshot is old enough.
+// takeSnapshot stores the sum, if the last snapshot is old enough.
 func (l *ReportLog) takeSnapshot(now time.Time) {
 	if n := len(l.snapshots); n > 0 && now.Sub(l.snapshots[n-1].at) < snapshotInterval {
 		return
@@ -100,7 +104,7 @@
 	l.snapshots = kept
 }
 
-// Evidence is what all reports say together at a moment.
+// Evidence returns the sum of all reports at a moment.
 func (l *ReportLog) Evidence(now time.Time) Evidence {
 	out := Evidence{Routes: maps.Clone(l.sum), Reports: len(l.gateways)}
 	later := l.sum
@@ -121,15 +125,15 @@
 	return out
 }
 
-// Lag is how far behind a gateway's reports are.
+// Lag is the age of a gateway's latest report.
 type Lag struct {
 	Gateway string
-	// Age is how old its latest report is; negative if there was none.
+	// Age is negative if there was no report.
 	Age time.Duration
 }
 
-// Behind lists those of the gateways, in their order, that have not yet reported to send
-// by a stage.
+// Behind lists those of the gateways, in their order, that have not yet reported that they
+// apply a stage.
 func (l *ReportLog) Behind(now time.Time, permille int, gateways []string) []Lag {
 	var out []Lag
 	for _, id := range gateways {
@@ -144,7 +148,7 @@
 	return out
 }
 
-// BaselineActive is how many sends to the baseline are under way at the gateways, by
+// BaselineActive returns the number of sends to the baseline in flight at the gateways, by
 // their latest reports.
 func (l *ReportLog) BaselineActive(gateways []string) (sum int) {
 	for _, id := range gateways {
--- a/core/gateway/rollout/play_test.go
+++ b/core/gateway/rollout/play_test.go
@@ -8,213 +8,215 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// play is one rollout on paper: requests arrive by chance, answers become known after their
-// time, gateways report, and Decide is asked. What it says holds after a while.
-type play struct {
-	seed    uint64
-	within  time.Duration
-	rate    float64 // requests a second
-	targets int     // of each version
-	flaw    flaw
-	trouble trouble
-	decide  func(State) Decision // Decide where nil
+// simulation is one simulated rollout: requests arrive at random, outcomes become known
+// after their latency, gateways report, and Decide is called. A decision takes effect at
+// the gateways after simPropagation.
+type simulation struct {
+	seed        uint64
+	within      time.Duration
+	rate        float64 // requests a second
+	targets     int     // of each version
+	defect      defect
+	disturbance disturbance
+	decide      func(State) Decision // Decide where nil
 }
 
-// flaw is how the new version is bad.
-type flaw struct {
-	fails float64 // share that fails
-	slow  float64 // share that takes eight times as long
-	route string  // on this route alone; empty for all
-	from  time.Duration
+// defect is how the new version is bad.
+type defect struct {
+	fails float64 // share of requests that fail
+	slow  float64 // share of requests that take eight times as long
+	route string  // only on this route; empty for all
+	start time.Duration
 }
 
-// trouble is what hits the targets, whatever their version.
-type trouble struct {
-	fails   float64 // share that the targets hit fail
-	slow    float64 // share that takes four times as long at the targets hit
-	hit     float64 // share of the targets that are hit
-	oldOnly bool
-	burst   float64 // how many times as many requests come, and a third is slow
-	garbled float64 // share of all answers that are wrong
+// disturbance affects the targets, whatever their version.
+type disturbance struct {
+	fails        float64 // share of requests that fail at the affected targets
+	slow         float64 // share of requests that take four times as long at the affected targets
+	affected     float64 // share of the targets that are affected
+	baselineOnly bool
+	burst        float64 // factor of the request rate in a burst, in which a third is slow
+	corrupted    float64 // share of all responses that are invalid
 }
 
-// result is what came of a play.
+// result is the outcome of a simulation.
 type result struct {
-	end     Decision
-	at      time.Duration // when the verdict fell
-	exposed float64       // requests that reached the new version until word of a verdict
-	allowed float64
-	bad     time.Duration // when the first bad answer was known
-	cut     int           // requests under way at the old version when it was completed
+	end        Decision
+	endedAt    time.Duration // when the latest decision was made
+	exposed    float64       // requests that reached the new version
+	allowed    float64
+	firstBadAt time.Duration // when the first bad response was known
+	inFlight   int           // requests in flight at the old version on completion
 }
 
 const (
-	playTick       = 10 * time.Millisecond
-	playGateways   = 8
-	playReport     = 250 * time.Millisecond
-	playWord       = 50 * time.Millisecond // until gateways know what was recorded
-	playAppear     = 400 * time.Millisecond
-	playWarm       = playAppear + 3*time.Second
-	playUsual      = 130 * time.Millisecond
-	playOverdue    = 3 * playUsual
-	playDecideEach = 50 * time.Millisecond
+	simTick           = 10 * time.Millisecond
+	simGateways       = 8
+	simReportInterval = 250 * time.Millisecond
+	simPropagation    = 50 * time.Millisecond // until gateways know a recorded decision
+	simCanaryStart    = 400 * time.Millisecond
+	simCanaryWarm     = simCanaryStart + 3*time.Second
+	simLatency        = 130 * time.Millisecond
+	simOverdue        = 3 * simLatency
+	simDecideInterval = 50 * time.Millisecond
 )
 
-// playRoutes are the routes of the service and their parts of its requests.
-var playRoutes = []struct {
-	name string
-	part float64
+// simRoutes are the routes of the service and their shares of its requests.
+var simRoutes = []struct {
+	name  string
+	share float64
 }{{"main", .65}, {"second", .27}, {"small", .08}}
 
-// known is what becomes known of one request at a moment.
-type known struct {
+// completion is the outcome of one request when it becomes known.
+type completion struct {
 	gateway int
 	side    RouteCounts
 }
 
-type player struct {
-	play
-	draw   *rand.Rand
-	hitOld []bool
-	hitNew []bool
-	order  catalog.Rollout
-	stages []catalog.Rollout // by when gateways send by them
-	ends   map[int][]known
-	active [2][]int // by side and gateway
-	counts []map[RouteCounts]Counts
-	ledger *ReportLog
-	stage  time.Duration
-	out    result
-	total  float64
+type simulator struct {
+	simulation
+	rng              *rand.Rand
+	baselineAffected []bool
+	canaryAffected   []bool
+	order            catalog.Rollout
+	stages           []catalog.Rollout // the order at each tick
+	completions      map[int][]completion
+	active           [2][]int // by version (sideIndex) and gateway
+	counts           []map[RouteCounts]Counts
+	ledger           *ReportLog
+	stage            time.Duration
+	out              result
+	total            float64
 }
 
-func (p play) run() result {
-	g := &player{
-		play: p, draw: rand.New(rand.NewPCG(p.seed, 7)), ledger: NewReportLog(), ends: map[int][]known{},
+func (p simulation) run() result {
+	g := &simulator{
+		simulation: p, rng: rand.New(rand.NewPCG(p.seed, 7)), ledger: NewReportLog(), completions: map[int][]completion{},
 		order: catalog.Rollout{Service: "api", Version: "2", Within: p.within},
 	}
 	if g.decide == nil {
 		g.decide = Decide
 	}
 	for range p.targets {
-		g.hitOld = append(g.hitOld, g.draw.Float64() < p.trouble.hit)
-		g.hitNew = append(g.hitNew, g.draw.Float64() < p.trouble.hit && !p.trouble.oldOnly)
+		g.baselineAffected = append(g.baselineAffected, g.rng.Float64() < p.disturbance.affected)
+		g.canaryAffected = append(g.canaryAffected, g.rng.Float64() < p.disturbance.affected && !p.disturbance.baselineOnly)
 	}
-	g.active = [2][]int{make([]int, playGateways), make([]int, playGateways)}
-	for range playGateways {
+	g.active = [2][]int{make([]int, simGateways), make([]int, simGateways)}
+	for range simGateways {
 		g.counts = append(g.counts, map[RouteCounts]Counts{})
 	}
-	for now := time.Duration(0); now < p.within; now += playTick {
+	for now := time.Duration(0); now < p.within; now += simTick {
 		g.step(now)
 	}
 	g.out.allowed = .1*g.total + 50
 	return g.out
 }
 
-// sent is the order by which gateways send at a moment.
-func (g *player) sent(now time.Duration) catalog.Rollout {
-	delay := int(playWord / playTick)
+// appliedOrder returns the order that gateways apply at a moment.
+func (g *simulator) appliedOrder(now time.Duration) catalog.Rollout {
+	delay := int(simPropagation / simTick)
 	if i := len(g.stages) - 1 - delay; i >= 0 {
 		return g.stages[i]
 	}
 	return catalog.Rollout{}
 }
 
-func (g *player) step(now time.Duration) {
+func (g *simulator) step(now time.Duration) {
 	g.stages = append(g.stages, g.order)
-	sent := g.sent(now)
-	for range poisson(g.draw, g.rate*g.surge(now)*playTick.Seconds()) {
+	sent := g.appliedOrder(now)
+	for range poisson(g.rng, g.rate*g.loadFactor(now)*simTick.Seconds()) {
 		g.request(now, sent)
 	}
-	tick := int(now / playTick)
-	for _, k := range g.ends[tick] {
+	tick := int(now / simTick)
+	for _, k := range g.completions[tick] {
 		side := k.side
 		side.Counts = Counts{}
 		g.counts[k.gateway][side] = g.counts[k.gateway][side].Plus(k.side.Counts)
-		g.active[index(side.Canary)][k.gateway]--
+		g.active[sideIndex(side.Canary)][k.gateway]--
 	}
-	delete(g.ends, tick)
-	for i := range playGateways {
-		if (now+playReport*time.Duration(i)/playGateways)%playReport < playTick {
+	delete(g.completions, tick)
+	for i := range simGateways {
+		if (now+simReportInterval*time.Duration(i)/simGateways)%simReportInterval < simTick {
 			g.report(now, i, sent.Permille)
 		}
 	}
-	if now%playDecideEach < playTick && !g.order.State.Final() {
-		g.judge(now)
+	if now%simDecideInterval < simTick && !g.order.State.Final() {
+		g.decideOnce(now)
 	}
 }
 
-// surge is how many times as many requests come as usual: for two seconds in the middle.
-func (g *player) surge(now time.Duration) float64 {
+// loadFactor returns the factor by which the request rate exceeds the usual one: for two
+// seconds in the middle.
+func (g *simulator) loadFactor(now time.Duration) float64 {
 	if g.inBurst(now) {
-		return g.trouble.burst
+		return g.disturbance.burst
 	}
 	return 1
 }
 
-func (g *player) inBurst(now time.Duration) bool {
+func (g *simulator) inBurst(now time.Duration) bool {
 	begin := time.Duration(float64(g.within) * .4)
-	return g.trouble.burst > 0 && now >= begin && now < begin+2*time.Second
+	return g.disturbance.burst > 0 && now >= begin && now < begin+2*time.Second
 }
 
-func index(canary bool) int {
+func sideIndex(canary bool) int {
 	if canary {
 		return 1
 	}
 	return 0
 }
 
-func (g *player) request(now time.Duration, sent catalog.Rollout) {
+func (g *simulator) request(now time.Duration, sent catalog.Rollout) {
 	g.total++
-	canary := sent.State == catalog.RolloutRunning && now >= playAppear && g.draw.Float64()*FullShare < float64(sent.Permille)
-	route := playRoutes[pick(g.draw)].name
-	fails, slow := g.odds(now, sent, canary, route)
-	took := time.Duration((.5 + g.draw.Float64()) * float64(playUsual))
+	canary := sent.State == catalog.RolloutRunning && now >= simCanaryStart && g.rng.Float64()*FullShare < float64(sent.Permille)
+	route := simRoutes[pickRoute(g.rng)].name
+	fails, slow := g.probabilities(now, sent, canary, route)
+	took := time.Duration((.5 + g.rng.Float64()) * float64(simLatency))
 	c := Counts{Sends: 1}
-	switch x := g.draw.Float64(); {
+	switch x := g.rng.Float64(); {
 	case x < fails:
 		c.Failed = 1
-	case x < either(fails, slow):
-		c.Slow, took = 1, playOverdue
+	case x < anyOf(fails, slow):
+		c.Slow, took = 1, simOverdue
 	}
-	if canary && now < playWarm {
+	if canary && now < simCanaryWarm {
 		c.Slow, c.Cold, took = 0, 1, 2*took
 	}
 	if canary {
 		g.out.exposed++
-		if c.Failed+c.Slow > 0 && g.out.bad == 0 && now >= g.flaw.from {
-			g.out.bad = now + took
+		if c.Failed+c.Slow > 0 && g.out.firstBadAt == 0 && now >= g.defect.start {
+			g.out.firstBadAt = now + took
 		}
 	}
-	gateway := g.draw.IntN(playGateways)
-	g.active[index(canary)][gateway]++
-	end := int((now+took)/playTick) + 1
-	g.ends[end] = append(g.ends[end], known{gateway, RouteCounts{Route: route, Canary: canary, Counts: c}})
+	gateway := g.rng.IntN(simGateways)
+	g.active[sideIndex(canary)][gateway]++
+	end := int((now+took)/simTick) + 1
+	g.completions[end] = append(g.completions[end], completion{gateway, RouteCounts{Route: route, Canary: canary, Counts: c}})
 }
 
-// odds are the chances that a request fails and that it is slow.
-func (g *player) odds(now time.Duration, sent catalog.Rollout, canary bool, route string) (fails, slow float64) {
-	hit := g.hitOld
+// probabilities returns the probabilities that a request fails and that it is slow.
+func (g *simulator) probabilities(now time.Duration, sent catalog.Rollout, canary bool, route string) (fails, slow float64) {
+	hit := g.baselineAffected
 	if canary {
-		hit = g.hitNew[:canarySize(sent.Permille, g.targets)]
+		hit = g.canaryAffected[:canarySize(sent.Permille, g.targets)]
 	}
-	if hit[g.draw.IntN(len(hit))] {
-		fails, slow = g.trouble.fails, g.trouble.slow
+	if hit[g.rng.IntN(len(hit))] {
+		fails, slow = g.disturbance.fails, g.disturbance.slow
 	}
-	fails = either(fails, g.trouble.garbled)
+	fails = anyOf(fails, g.disturbance.corrupted)
 	if g.inBurst(now) {
-		slow = either(slow, 1./3)
+		slow = anyOf(slow, 1./3)
 	}
-	if canary && now >= g.flaw.from && (g.flaw.route == "" || g.flaw.route == route) {
-		fails, slow = either(fails, g.flaw.fails), either(slow, g.flaw.slow)
+	if canary && now >= g.defect.start && (g.defect.route == "" || g.defect.route == route) {
+		fails, slow = anyOf(fails, g.defect.fails), anyOf(slow, g.defect.slow)
 	}
 	return fails, slow
 }
 
-// either is the chance that at least one of two things happens.
-func either(a, b float64) float64 { return 1 - (1-a)*(1-b) }
+// anyOf returns the probability that at least one of two independent events happens.
+func anyOf(a, b float64) float64 { return 1 - (1-a)*(1-b) }
 
-func (g *player) report(now time.Duration, i, permille int) {
+func (g *simulator) report(now time.Duration, i, permille int) {
 	r := Report{Gateway: string(rune('a' + i)), Permille: permille, BaselineActive: g.active[0][i], CanaryActive: g.active[1][i]}
 	for side, c := range g.counts[i] {
 		side.Counts = c
@@ -223,19 +225,19 @@
 	g.ledger.Add(start.Add(now), r)
 }
 
-func (g *player) judge(now time.Duration) {
+func (g *simulator) decideOnce(now time.Duration) {
 	s := State{
 		Order: g.order, Limits: Limits{Share: .1, Slack: 50, RollBackWithin: 5 * time.Second},
 		Age: now, StageAge: now - g.stage, OnTrial: true, Baseline: g.targets,
 		Evidence: g.ledger.Evidence(start.Add(now)),
 	}
-	if now >= playAppear {
+	if now >= simCanaryStart {
 		s.Canary = g.targets
 	}
-	if now >= playWarm {
+	if now >= simCanaryWarm {
 		s.Warm = g.targets
 	}
-	ids := make([]string, playGateways)
+	ids := make([]string, simGateways)
 	for i := range ids {
 		ids[i] = string(rune('a' + i))
 	}
@@ -249,28 +251,28 @@
 		g.order.State, g.order.Permille = catalog.RolloutRunning, d.Permille
 	case Complete:
 		g.order.State = catalog.RolloutCompleted
-		g.out.cut = g.active[0][0]
+		g.out.inFlight = g.active[0][0]
 		for _, n := range g.active[0][1:] {
-			g.out.cut += n
+			g.out.inFlight += n
 		}
 	case RollBack:
 		g.order.State = catalog.RolloutRolledBack
 	}
 	g.stage = now
-	g.out.end, g.out.at = d, now
+	g.out.end, g.out.endedAt = d, now
 }
 
-func pick(draw *rand.Rand) int {
+func pickRoute(draw *rand.Rand) int {
 	x := draw.Float64()
-	for i, r := range playRoutes {
-		if x -= r.part; x < 0 {
+	for i, r := range simRoutes {
+		if x -= r.share; x < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-// poisson draws how many events there are where mean are usual.
+// poisson draws a Poisson-distributed number of events with the given mean.
 func poisson(draw *rand.Rand, mean float64) int {
 	n, left := 0, math.Exp(-mean)
 	for p := draw.Float64(); p > left; p *= draw.Float64() {
--- a/core/gateway/rollout/rollout.go
+++ b/core/gateway/rollout/rollout.go
@@ -1,14 +1,14 @@
-// Package rollout decides everything about rollouts that can be decided without I/O:
-// which target of a service may take a request while a version is on trial (Versions,
-// Assignment), what the gateways' reports say in all (Ledger), how old the orders are
-// (Ages), and whether a rollout goes on, is completed or is rolled back (Decide).
+// Package rollout makes all decisions about rollouts that need no I/O: which target of a
+// service may take a request while a version is on trial (Versions, Assignment), what the
+// gateways' reports add up to (ReportLog), how old the orders are (Ages), and whether a
+// rollout goes on, is completed or is rolled back (Decide).
 //
 // The ordered version is the canary while it is on trial; the version in service, with
 // which it is compared, is the baseline.
 //
-// It owns these rules and their constants. It relies on what is believed of rollouts and
-// targets (core/gateway/catalog). It does no I/O, reads no clock, takes no lock and draws
-// no random numbers.
+// The package owns these rules and their constants. It depends on the known state of
+// rollouts and targets (core/gateway/catalog). It does no I/O, reads no clock, takes no
+// lock and draws no random numbers.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 //
 // The gateway that decides:
 //
-//	ages.Note(now, order, confirmed)
-//	ledger.Note(now, report)
-//	d := rollout.Decide(rollout.State{Order: order, Age: ages.Of(now, "api"), ...})
+//	ages.Observe(now, order, confirmed)
+//	reports.Add(now, report)
+//	d := rollout.Decide(rollout.State{Order: order, Age: ages.Age(now, "api"), ...})
 package rollout
--- a/core/gateway/rollout/stages.go
+++ b/core/gateway/rollout/stages.go
@@ -6,67 +6,74 @@
 )
 
 const (
-	// rampStart is the part of an order's time after which the first share grows: a version
-	// may turn bad some seconds after its start, and what turns bad before costs little.
-	// More is left for what delays, as an unreachable store.
+	// rampStart is the share of an order's time after which the first share grows: a
+	// version may turn bad some seconds after its start, and costs little if it does so
+	// before the ramp. A later ramp would leave too little time for delays, such as an
+	// unreachable store.
 	rampStart = 0.55
-	// firstStageBudget and middlePart are the parts of the exposure that a bad version may have
-	// which the first and the middle stage use up. Weighed: with a quarter for each, a version that
-	// turns bad in the last stage got more than it may where the order gives 12 s.
+	// firstStageBudget and middleStageBudget are the shares of a bad version's allowed
+	// exposure that the first and the middle stage use. In simulations with a quarter for
+	// each, a version that turned bad in the last stage exceeded its exposure where the
+	// order gives 12 s.
 	firstStageBudget  = 0.1
 	middleStageBudget = 0.1
-	// maxFirstStageBudget bounds the first share where the rate of the service is small and more is
-	// needed for a proof in time.
+	// maxFirstStageBudget bounds the first share where the rate of the service is low and a
+	// proof in time needs a greater share.
 	maxFirstStageBudget = 0.4
 	// firstStageSends is how many sends should reach the canary in the first stage: 29 good
-	// answers prove it, some may be bad.
+	// responses prove it healthy, some may be bad.
 	firstStageSends = 45
-	// minShare bounds the first share from below, mostShare all before the last from
-	// above: targets of the baseline stay warm.
+	// minShare bounds the first share from below, maxShare all shares before the last from
+	// above, so that the targets of the baseline stay warm.
 	minShare = 0.01
-	maxShare  = 0.5
-	// minMiddleStage is how long the middle stage lasts at least, and stagePart its part of the
-	// order's time: until slow answers of its first sends are known and reported.
-	minMiddleStage = 700 * time.Millisecond
-	middleStageShare  = 0.05
-	// lastStageDuration is how long the last stage usually takes: all gateways have learnt of it, what
-	// was under way at the baseline has ended, and both are reported.
+	maxShare = 0.5
+	// minMiddleStage is the shortest duration of the middle stage, and middleStageShare its
+	// share of the order's time: until slow responses to its first sends are known and
+	// reported.
+	minMiddleStage   = 700 * time.Millisecond
+	middleStageShare = 0.05
+	// lastStageDuration is the usual duration of the last stage: until all gateways have
+	// received it, the sends to the baseline have ended, and both are reported.
 	lastStageDuration = 600 * time.Millisecond
-	// defaultDrainWait is how long the last stage waits for gateways that don't report and sends
-	// that don't end, where nobody says how long these may take.
+	// defaultDrainWait is how long the last stage waits for gateways that don't report and
+	// sends that don't end, where no Limits.DrainWait is given.
 	defaultDrainWait = 30 * time.Second
-	// stopDelay is how long after a version turns bad the last request is sent to it: an
-	// answer, a report, a write to the store, its update. stopTime is the part of it in which
-	// requests are sent that are not counted yet: half the time between two reports, the
-	// write, its update.
-	stopDelay = 450 * time.Millisecond
-	uncountedDelay   = 250 * time.Millisecond
-	// exposureStopShare is the part of what a bad version may get at which it is stopped by the
-	// count so far: more arrives by chance.
+	// stopDelay is the time from when a version turns bad to the last request sent to it: a
+	// response, a report, a write to the store, its update. uncountedDelay is the part of
+	// it in which requests are sent that are not counted yet: half of the report interval,
+	// the write, its update.
+	stopDelay      = 450 * time.Millisecond
+	uncountedDelay = 250 * time.Millisecond
+	// exposureStopShare is the share of a bad version's allowed exposure at which the
+	// version is stopped by the count so far, since the number of requests that still
+	// arrive varies at random.
 	exposureStopShare = 0.9
-	// minDeadlineMargin is how long before the deadline a rollout has ended, and marginPart its
-	// part of the order's time: a call to the store may have to be repeated.
-	minDeadlineMargin = 1500 * time.Millisecond
-	deadlineMarginShare  = 0.1
-	// minWarmShare is which part of the targets of a stage must be warm: others may have crashed
-	// and come back.
+	// minDeadlineMargin is how long before the deadline a rollout must have ended, and
+	// deadlineMarginShare the same as a share of the order's time: a call to the store may
+	// have to be retried.
+	minDeadlineMargin   = 1500 * time.Millisecond
+	deadlineMarginShare = 0.1
+	// minWarmShare is the share of a stage's targets that must be warm. The rest may have
+	// crashed and restarted.
 	minWarmShare = 0.9
 )
 
-// latestEndAge is the age at which a rollout must have ended.
+// latestEndAge returns the age at which a rollout must have ended.
 func latestEndAge(within time.Duration) time.Duration {
 	return within - max(minDeadlineMargin, fractionOf(within, deadlineMarginShare))
 }
 
-// fractionOf is a share of a time.
+// fractionOf returns a share of a duration.
 func fractionOf(d time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(d))
 }
 
-// middleStageDuration is how long the middle stage lasts.
-func middleStageDuration(within time.Duration) time.Duration { return max(minMiddleStage, fractionOf(within, middleStageShare)) }
+// middleStageDuration returns how long the middle stage lasts.
+func middleStageDuration(within time.Duration) time.Duration {
+	return max(minMiddleStage, fractionOf(within, middleStageShare))
+}
 
-// firstShare is the share of the first stage, in thousandths.
+// firstShare returns the share of the first stage, in thousandths.
 func (s State) firstShare() int {
 	duration := fractionOf(s.Order.Within, rampStart).Seconds()
 	share := firstStageBudget * s.budget() / duration
@@ -77,7 +84,7 @@
 	return permille(share)
 }
 
-// middleShare is the share of the middle stage, in thousandths.
+// middleShare returns the share of the middle stage, in thousandths.
 func (s State) middleShare() int {
 	duration := middleStageDuration(s.Order.Within) + stopDelay
 	return permille(middleStageBudget * s.budget() / duration.Seconds())
@@ -88,7 +95,7 @@
 	return int(math.Round(FullShare * min(max(share, minShare), maxShare)))
 }
 
-// budget is for how many seconds a bad version may take all requests.
+// budget returns for how many seconds a bad version may take all requests.
 func (s State) budget() float64 {
 	seconds := s.Limits.Share * s.Order.Within.Seconds()
 	if rate := s.Evidence.rate(); rate > 0 {
@@ -97,8 +104,9 @@
 	return seconds
 }
 
-// isExposureSpent says whether the version, even if it were stopped now, would have got about as
-// much as a bad one may (exposedPart of it): it must be proved now, or stopped.
+// isExposureSpent reports whether the version, even if it were stopped now, would have got
+// about as much as a bad one may (exposureStopShare of it). It must be proved healthy now,
+// or stopped.
 func (s State) isExposureSpent() bool {
 	total, rate := s.Evidence.Total(), s.Evidence.rate()
 	remaining := max(s.Order.Within-s.Age, 0).Seconds()
@@ -108,8 +116,8 @@
 	return expected >= exposureStopShare*allowed
 }
 
-// nextShare is the share that may follow by the time that has passed, in thousandths; that
-// of now if none may yet.
+// nextShare returns the share that may follow by the time that has passed, in thousandths;
+// the present one if none may follow yet.
 func (s State) nextShare() int {
 	now, within := s.Order.Permille, s.Order.Within
 	ramp, stage := fractionOf(within, rampStart), middleStageDuration(within)
@@ -129,9 +137,10 @@
 	return next
 }
 
-// resizedFirstShare is the first share worked out anew: the rate of the service may not have been
-// known when it was recorded. It stays as it is where too little time is left to gain from
-// another, or where that is less than half as much again.
+// resizedFirstShare returns the first share computed anew, since the rate of the service
+// may not have been known when the share was recorded. The share stays as it is where too
+// little time is left to gain from a change, or where the new one is less than half as much
+// again.
 func (s State) resizedFirstShare(ramp time.Duration) int {
 	share := s.firstShare()
 	if s.Age > ramp/2 || 2*share < 3*s.Order.Permille {
--- a/core/gateway/rollout/table_test.go
+++ b/core/gateway/rollout/table_test.go
@@ -9,54 +9,54 @@
 	"time"
 )
 
-var playsEach = flag.Int("rollout.plays", 0, "plays of each row of the tables of rollouts on paper; 0 for the few of the tests")
+var runsPerRow = flag.Int("rollout.plays", 0, "simulations for each row of the rollout tables; 0 for the small number of the tests")
 
-// fast are the rates, in requests a second, at which a rollout of 12 s can be proved by the
-// smallest of three routes, too.
-const fast = 170
+// provableRate is a rate, in requests per second, at which a rollout of 12 s can be proved
+// healthy on the smallest of three routes, too.
+const provableRate = 170
 
-// flaws are the ways in which a version is bad, and troubles what hits both versions, or the
-// old one alone.
+// defects are the ways in which a version is bad, and disturbances what affects both
+// versions, or the baseline alone.
 var (
-	flaws = map[string]flaw{
-		"fails .1":             {fails: .1},
-		"fails .3":             {fails: .3},
-		"fails .5":             {fails: .5},
-		"slow .3":              {slow: .3},
-		"slow .5":              {slow: .5},
-		"slow":                 {slow: 1},
-		"fails .4 from 3.4 s":  {fails: .4, from: 3400 * time.Millisecond},
-		"slow .5 from 3.4 s":   {slow: .5, from: 3400 * time.Millisecond},
-		"fails .4 on a route":  {fails: .4, route: "second"},
-		"fails .4 on a rare 1": {fails: .4, route: "small"},
+	defects = map[string]defect{
+		"fails .1":            {fails: .1},
+		"fails .3":            {fails: .3},
+		"fails .5":            {fails: .5},
+		"slow .3":             {slow: .3},
+		"slow .5":             {slow: .5},
+		"slow":                {slow: 1},
+		"fails .4 from 3.4 s": {fails: .4, start: 3400 * time.Millisecond},
+		"slow .5 from 3.4 s":  {slow: .5, start: 3400 * time.Millisecond},
+		"fails .4 on a route": {fails: .4, route: "second"},
+		"fails .4 on rare":    {fails: .4, route: "small"},
 	}
-	troubles = map[string]trouble{
+	disturbances = map[string]disturbance{
 		"none":           {},
-		"old fail .4":    {hit: .15, fails: .4, oldOnly: true},
-		"targets .4":     {hit: .15, fails: .4},
-		"targets slow":   {hit: .15, slow: 1},
-		"garbled .02":    {garbled: .02},
+		"baseline .4":    {affected: .15, fails: .4, baselineOnly: true},
+		"targets .4":     {affected: .15, fails: .4},
+		"targets slow":   {affected: .15, slow: 1},
+		"corrupted .02":  {corrupted: .02},
 		"burst of three": {burst: 3},
 	}
 )
 
-// tally is what came of many plays.
+// tally is the sum of many simulations.
 type tally struct {
-	bad, missed, good, reversed int
-	over, half                  int
-	exposed, worst              float64
-	late                        time.Duration
-	cut                         int
+	bad, missed, good, rolledBack int
+	over, overHalf                int
+	exposed, maxExposure          float64
+	detection                     time.Duration
+	cut                           int
 }
 
-func (t *tally) add(p play, r result) {
+func (t *tally) add(p simulation, r result) {
 	share := r.exposed / r.allowed
-	if p.flaw == (flaw{}) {
+	if p.defect == (defect{}) {
 		t.good++
 		if r.end.Action != Complete {
-			t.reversed++
+			t.rolledBack++
 		}
-		t.cut += r.cut
+		t.cut += r.inFlight
 		return
 	}
 	t.bad++
@@ -68,24 +68,24 @@
 		t.over++
 	}
 	if share > .5 {
-		t.half++
+		t.overHalf++
 	}
 	t.exposed += share
-	t.worst = max(t.worst, share)
-	if r.bad > 0 {
-		t.late += r.at - r.bad
+	t.maxExposure = max(t.maxExposure, share)
+	if r.firstBadAt > 0 {
+		t.detection += r.endedAt - r.firstBadAt
 	}
 }
 
 func (t *tally) String() string {
 	n := max(t.bad-t.missed, 1)
-	return fmt.Sprintf("bad: missed %d of %d, %v late, exposure mean %.2f, greatest %.2f, above .5 %d, above 1 %d; "+
-		"good: rolled back %d of %d, cut %d", t.missed, t.bad, (t.late / time.Duration(n)).Round(10*time.Millisecond),
-		t.exposed/float64(n), t.worst, t.half, t.over, t.reversed, t.good, t.cut)
+	return fmt.Sprintf("bad: missed %d of %d, detected after %v, exposure mean %.2f, max %.2f, above .5 %d, above 1 %d; "+
+		"good: rolled back %d of %d, in flight %d", t.missed, t.bad, (t.detection / time.Duration(n)).Round(10*time.Millisecond),
+		t.exposed/float64(n), t.maxExposure, t.overHalf, t.over, t.rolledBack, t.good, t.cut)
 }
 
-// playAll plays each n times, with other seeds.
-func playAll(plays []play, n int) *tally {
+// simulateAll runs each simulation n times, with different seeds.
+func simulateAll(plays []simulation, n int) *tally {
 	var (
 		out  tally
 		lock sync.Mutex
@@ -109,42 +109,42 @@
 	return &out
 }
 
-// each is a play of each flaw and one of a good version.
-func each(p play) []play {
-	out := []play{p}
-	for _, f := range flaws {
-		p.flaw = f
+// withEachDefect returns a simulation of a good version and one of each defect.
+func withEachDefect(p simulation) []simulation {
+	out := []simulation{p}
+	for _, f := range defects {
+		p.defect = f
 		out = append(out, p)
 	}
 	return out
 }
 
-func TestBadVersionsAreFoundAndGoodOnesCompleted(t *testing.T) {
-	n := max(*playsEach, 4)
+func TestBadVersionsAreRolledBackAndGoodOnesCompleted(t *testing.T) {
+	n := max(*runsPerRow, 4)
 	for _, within := range []time.Duration{12 * time.Second, 16 * time.Second} {
-		for _, rate := range []float64{fast, 600} {
-			got := playAll(each(play{within: within, rate: rate, targets: 100}), n)
+		for _, rate := range []float64{provableRate, 600} {
+			got := simulateAll(withEachDefect(simulation{within: within, rate: rate, targets: 100}), n)
 			t.Logf("%v, %4.0f/s: %v", within, rate, got)
-			if got.missed > 0 || got.reversed > 0 || got.over > 0 {
+			if got.missed > 0 || got.rolledBack > 0 || got.over > 0 {
 				t.Errorf("%v, %.0f/s: %v", within, rate, got)
 			}
 		}
 	}
 }
 
-// In any trouble the exposure stays within what is allowed and a version that fails .3 or
-// more is found; a good one that seems bad is rolled back.
-func TestBadVersionsAreFoundInTrouble(t *testing.T) {
-	n := max(*playsEach, 2)
-	for name, trouble := range troubles {
-		for _, rate := range []float64{fast, 600} {
-			p := play{within: 12 * time.Second, rate: rate, targets: 100, trouble: trouble}
-			plays := []play{p}
+// Under every disturbance the exposure stays within its limit and a version that fails .3
+// or more is rolled back. A good version that seems bad may be rolled back as well.
+func TestBadVersionsAreRolledBackUnderDisturbances(t *testing.T) {
+	n := max(*runsPerRow, 2)
+	for name, trouble := range disturbances {
+		for _, rate := range []float64{provableRate, 600} {
+			p := simulation{within: 12 * time.Second, rate: rate, targets: 100, disturbance: trouble}
+			plays := []simulation{p}
 			for _, f := range []string{"fails .3", "fails .5", "slow .5", "slow", "fails .4 from 3.4 s"} {
-				p.flaw = flaws[f]
+				p.defect = defects[f]
 				plays = append(plays, p)
 			}
-			got := playAll(plays, n)
+			got := simulateAll(plays, n)
 			t.Logf("%-14s %4.0f/s: %v", name, rate, got)
 			if got.missed > 0 || got.over > 0 {
 				t.Errorf("%s, %.0f/s: %v", name, rate, got)
@@ -153,19 +153,20 @@
 	}
 }
 
-// A version may turn bad at any moment: until the verdict it gets no more than it may.
+// Whenever a version turns bad, it gets no more than its allowed exposure before it is
+// rolled back.
 func TestExposureIsBoundedWheneverAVersionTurnsBad(t *testing.T) {
-	n := max(*playsEach/4, 1)
+	n := max(*runsPerRow/4, 1)
 	for _, within := range []time.Duration{8 * time.Second, 12 * time.Second, 16 * time.Second} {
-		for _, rate := range []float64{30, fast, 600} {
-			var plays []play
+		for _, rate := range []float64{30, provableRate, 600} {
+			var plays []simulation
 			for from := time.Duration(0); from < within*2/3; from += within / 24 {
-				for _, f := range []flaw{{fails: .3}, {fails: .5}, {slow: .5}, {slow: 1}} {
-					f.from = from
-					plays = append(plays, play{within: within, rate: rate, targets: 100, flaw: f})
+				for _, f := range []defect{{fails: .3}, {fails: .5}, {slow: .5}, {slow: 1}} {
+					f.start = from
+					plays = append(plays, simulation{within: within, rate: rate, targets: 100, defect: f})
 				}
 			}
-			got := playAll(plays, n)
+			got := simulateAll(plays, n)
 			t.Logf("%v, %4.0f/s: %v", within, rate, got)
 			if got.over > 0 {
 				t.Errorf("%v, %.0f/s: %v", within, rate, got)
@@ -174,60 +175,61 @@
 	}
 }
 
-// BenchmarkTables plays the tables of docs/design/rollouts.md:
+// BenchmarkTables runs the simulations for the tables of docs/design/rollouts.md:
 //
 //	go test -run - -bench Tables -benchtime 1x -rollout.plays 20
 func BenchmarkTables(b *testing.B) {
-	n := max(*playsEach, 1)
+	n := max(*runsPerRow, 1)
 	for b.Loop() {
-		byRate(b, n)
-		bySteps(b, n)
-		byTest(b, n)
+		benchmarkRates(b, n)
+		benchmarkStages(b, n)
+		benchmarkTests(b, n)
 	}
 }
 
-// byRate plays services of several rates.
-func byRate(b *testing.B, n int) {
+// benchmarkRates simulates services of several rates.
+func benchmarkRates(b *testing.B, n int) {
 	for _, within := range []time.Duration{8 * time.Second, 12 * time.Second, 16 * time.Second} {
-		for _, rate := range []float64{5, 30, 76, fast, 600} {
-			b.Logf("%v, %4.0f/s: %v", within, rate, playAll(each(play{within: within, rate: rate, targets: 100}), n))
+		for _, rate := range []float64{5, 30, 76, provableRate, 600} {
+			b.Logf("%v, %4.0f/s: %v", within, rate, simulateAll(withEachDefect(simulation{within: within, rate: rate, targets: 100}), n))
 		}
 	}
-	b.Logf("12s, 5000/s: %v", playAll(each(play{within: 12 * time.Second, rate: 5000, targets: 100}), max(n/5, 1)))
-	good := play{within: 12 * time.Second, rate: fast, targets: 100}
-	b.Logf("good at %d/s: %v", fast, playAll([]play{good}, 20*n))
+	b.Logf("12s, 5000/s: %v", simulateAll(withEachDefect(simulation{within: 12 * time.Second, rate: 5000, targets: 100}), max(n/5, 1)))
+	good := simulation{within: 12 * time.Second, rate: provableRate, targets: 100}
+	b.Logf("good at %d/s: %v", provableRate, simulateAll([]simulation{good}, 20*n))
 }
 
-// bySteps plays other steps of the share.
-func bySteps(b *testing.B, n int) {
-	for name, way := range map[string]func(State) Decision{"steps by budget": Decide, "fixed steps": fixedSteps} {
-		for _, rate := range []float64{30, fast, 600} {
-			var plays []play
+// benchmarkStages simulates other stages of the share.
+func benchmarkStages(b *testing.B, n int) {
+	for name, way := range map[string]func(State) Decision{"stages by budget": Decide, "fixed stages": fixedStages} {
+		for _, rate := range []float64{30, provableRate, 600} {
+			var plays []simulation
 			for from := 3 * time.Second; from < 9*time.Second; from += 250 * time.Millisecond {
-				f := flaw{fails: .5, from: from}
-				plays = append(plays, play{within: 12 * time.Second, rate: rate, targets: 100, flaw: f, decide: way})
+				f := defect{fails: .5, start: from}
+				plays = append(plays, simulation{within: 12 * time.Second, rate: rate, targets: 100, defect: f, decide: way})
 			}
-			b.Logf("%s, %4.0f/s, fails .5 from any moment on: %v", name, rate, playAll(append(plays, play{
+			b.Logf("%s, %4.0f/s, fails .5 from various moments: %v", name, rate, simulateAll(append(plays, simulation{
 				within: 12 * time.Second, rate: rate, targets: 100, decide: way,
 			}), n))
 		}
 	}
 }
 
-// byTest plays other comparisons of the versions.
-func byTest(b *testing.B, n int) {
+// benchmarkTests simulates other comparisons of the versions.
+func benchmarkTests(b *testing.B, n int) {
 	for name, way := range map[string]func(State) Decision{
-		"sequential": Decide, "20 answers, .1 more": fixed(20, .1), "40 answers, .15 more": fixed(40, .15),
+		"sequential": Decide, "20 responses, +.1": fixedThresholds(20, .1), "40 responses, +.15": fixedThresholds(40, .15),
 	} {
-		for trouble, hits := range troubles {
-			p := play{within: 12 * time.Second, rate: 600, targets: 100, trouble: hits, decide: way}
-			b.Logf("%s, %s: %v", name, trouble, playAll(each(p), n))
+		for trouble, hits := range disturbances {
+			p := simulation{within: 12 * time.Second, rate: 600, targets: 100, disturbance: hits, decide: way}
+			b.Logf("%s, %s: %v", name, trouble, simulateAll(withEachDefect(p), n))
 		}
 	}
 }
 
-// fixedSteps takes the same steps whatever the service's rate: a twentieth, a quarter, all.
-func fixedSteps(s State) Decision {
+// fixedStages uses the same stages whatever the service's rate: a twentieth, a quarter,
+// all.
+func fixedStages(s State) Decision {
 	d := Decide(s)
 	switch {
 	case d.Action != Advance || d.Permille == FullShare:
@@ -240,9 +242,9 @@
 	return d.advance(250, d.Reason)
 }
 
-// fixed decides by fixed thresholds with least counts instead: a version is bad once so
-// many of at least so many answers exceed the baseline's share by so much.
-func fixed(least uint64, margin float64) func(State) Decision {
+// fixedThresholds decides by fixed thresholds with minimum counts instead: a version is bad
+// once its share of bad responses, of at least so many, exceeds the baseline's by a margin.
+func fixedThresholds(least uint64, margin float64) func(State) Decision {
 	return func(s State) Decision {
 		window := Routes{}
 		for i, slice := range s.Evidence.Slices {
@@ -255,15 +257,15 @@
 					}
 				}
 			}
-			s.Evidence.Slices[i].Routes = clean(slice.Routes)
+			s.Evidence.Slices[i].Routes = withoutBadResponses(slice.Routes)
 		}
-		s.Evidence.Routes = clean(s.Evidence.Routes)
+		s.Evidence.Routes = withoutBadResponses(s.Evidence.Routes)
 		return Decide(s)
 	}
 }
 
-// clean forgets bad answers.
-func clean(routes Routes) Routes {
+// withoutBadResponses drops the bad responses from the counts.
+func withoutBadResponses(routes Routes) Routes {
 	out := Routes{}
 	for r, p := range routes {
 		p.Canary.Failed, p.Canary.Slow, p.Baseline.Slow, p.Baseline.Failed = 0, 0, 0, 0
--- a/core/gateway/rollout/versions.go
+++ b/core/gateway/rollout/versions.go
@@ -7,35 +7,37 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// Versions holds which versions of each service were met in service, and which on trial,
-// for the life of the process: an operator may delete an order, and entries of targets may
-// come before the order. It is not safe for concurrent use.
+// Versions records which versions of each service were seen in service, and which on trial,
+// for the lifetime of the process: an operator may delete an order, and the entries of
+// targets may arrive before the order. It is not safe for concurrent use.
 type Versions struct {
 	services map[string]*serviceVersions
 }
 
-// serviceVersions are those of one service. One that is in none of the sets is new.
+// serviceVersions holds the versions of one service. One that is neither in serving nor in
+// trial is new.
 type serviceVersions struct {
 	serving map[string]bool
 	trial   map[string]bool
-	// retired are the targets that a completed rollout replaced; later ones of
-	// their version may come by other ways and count like those of any.
+	// retired are the targets that a completed rollout replaced. Later targets of their
+	// version may be added in other ways and are treated like any others.
 	retired map[catalog.Life]bool
-	// firstSeen holds, by each target of a new version, the revision up to which targets
-	// were known when it was first met: it waits until orders are known as far.
+	// firstSeen holds, for each target of a new version, the revision up to which targets
+	// were known when it was first seen. The target takes no requests until orders are
+	// known up to that revision.
 	firstSeen map[catalog.Life]uint64
 }
 
-// NewVersions makes one that has met none.
+// NewVersions returns a Versions that has seen no version.
 func NewVersions() *Versions { return &Versions{services: map[string]*serviceVersions{}} }
 
-// Admit takes in all known targets of a service, also those that leave or are evacuated,
-// with its order if there is one (ordered), and how far knowledge has come. It lists them
-// without those
+// Admit records all known targets of a service, including those that are leaving or
+// evacuated, with the service's order if there is one (ordered), and the revisions up to
+// which the state is known. It returns the targets without those
 //
-//   - whose version was never met in service while others are, until orders are known up
+//   - whose version was never seen in service while others were, until orders are known up
 //     to the revision at which the target was known;
-//   - whose version is on trial without an order, or was replaced, while others are there.
+//   - whose version is on trial without an order, or was replaced, while there are others.
 func (v *Versions) Admit(service string, targets []catalog.Target, r catalog.Rollout, ordered bool, at catalog.Position) []catalog.Target {
 	s := v.service(service)
 	if ordered {
@@ -51,13 +53,13 @@
 		}
 	}
 	if len(admitted) == 0 && (!ordered || r.State == catalog.RolloutCompleted) {
-		return targets // all that is left of the service
+		return targets // the service has no others
 	}
 	return admitted
 }
 
-// OnTrial says whether a version of a service was met on trial: ordered beside another
-// one that was in service, and not completed.
+// OnTrial reports whether a version of a service was seen on trial: ordered while another
+// one was in service, and not completed.
 func (v *Versions) OnTrial(service, version string) bool { return v.service(service).trial[version] }
 
 func (v *Versions) service(service string) *serviceVersions {
@@ -71,7 +73,7 @@
 	return s
 }
 
-// present counts, by version, the targets that are not leaving.
+// present counts the targets of each version that are not leaving.
 func (s *serviceVersions) present(targets []catalog.Target) map[string]int {
 	out := map[string]int{}
 	for _, t := range targets {
@@ -82,7 +84,7 @@
 	return out
 }
 
-// applyOrder takes in what an order says of its version.
+// applyOrder updates the state of an order's version.
 func (s *serviceVersions) applyOrder(r catalog.Rollout, targets []catalog.Target) {
 	for _, t := range targets {
 		if t.Version == r.Version {
@@ -98,8 +100,8 @@
 	}
 }
 
-// complete notes that a version was completed. Who did not see it on trial can't say what
-// it replaced.
+// complete records that a version was completed. A process that did not see the version on
+// trial does not know which targets it replaced.
 func (s *serviceVersions) complete(version string, targets []catalog.Target) {
 	if s.trial[version] {
 		clear(s.retired)
@@ -114,19 +116,20 @@
 	s.serving[version] = true
 }
 
-// hasOtherServing says whether a version is in service beside one that is ordered.
+// hasOtherServing reports whether another version than the ordered one is in service.
 func (s *serviceVersions) hasOtherServing(version string, present map[string]int) bool {
 	for other := range present {
 		if other != version && !s.trial[other] {
 			return true
 		}
 	}
-	// Its targets may all be down for a moment.
+	// The targets of the version in service may all be down for a moment.
 	return !s.serving[version] && len(s.serving) > 0
 }
 
-// observe notes how far targets were known when those of new versions were first met, and
-// which versions are in service: those of which no order can be missing.
+// observe records the revision up to which targets were known when those of new versions
+// were first seen, and which versions are in service: those for which no order can be
+// missing.
 func (s *serviceVersions) observe(targets []catalog.Target, at catalog.Position) {
 	firstSeen := map[catalog.Life]uint64{}
 	for _, t := range targets {
@@ -149,9 +152,9 @@
 	return !s.serving[version] && !s.trial[version]
 }
 
-// presumedServing is the new version that serves while none was met in service: that of most
-// targets, since those of an ordered one start beside them; of two with as many, the first
-// by name.
+// presumedServing returns the new version that serves while none was seen in service: the
+// one with the most targets, since those of an ordered version start in addition to them;
+// of two with as many, the first by name.
 func (s *serviceVersions) presumedServing(present map[string]int) string {
 	var best string
 	for _, version := range slices.Sorted(maps.Keys(present)) {
@@ -162,7 +165,7 @@
 	return best
 }
 
-// admits says whether a target may take requests.
+// admits reports whether a target may take requests.
 func (s *serviceVersions) admits(t catalog.Target, r catalog.Rollout, ordered bool, presumed string) bool {
 	switch {
 	case s.trial[t.Version]:
--- a/core/gateway/rollout/versions_test.go
+++ b/core/gateway/rollout/versions_test.go
@@ -19,7 +19,7 @@
 	return catalog.Position{Rollouts: rollouts, Changed: changed}
 }
 
-// serving makes one that has met version 1 in service.
+// serving returns a Versions that has seen version 1 in service.
 func serving(t *testing.T) *Versions {
 	v := NewVersions()
 	if got := admitted(v, targets("1", 3), catalog.Rollout{}, false, at(10, 9)); got["1"] != 3 {
@@ -28,13 +28,13 @@
 	return v
 }
 
-func TestVersionsHoldANewOneUntilOrdersAreKnown(t *testing.T) {
+func TestNewVersionIsNotAdmittedUntilOrdersAreKnown(t *testing.T) {
 	v := serving(t)
 	both := append(targets("1", 3), targets("2", 3)...)
 	if got := admitted(v, both, catalog.Rollout{}, false, at(10, 12)); got["1"] != 3 || got["2"] != 0 {
 		t.Errorf("entries before their order: admitted %v", got)
 	}
-	// The order is there, and was before the entries were written.
+	// The order is known, and was there before the entries were written.
 	if got := admitted(v, both, order(catalog.RolloutOrdered, 0), true, at(11, 12)); got["2"] != 3 || !v.OnTrial("api", "2") {
 		t.Errorf("ordered: admitted %v, on trial: %v", got, v.OnTrial("api", "2"))
 	}
@@ -43,11 +43,11 @@
 	}
 }
 
-func TestVersionsTakeAReplacementWithoutAnOrder(t *testing.T) {
+func TestNewVersionWithoutAnOrderIsAdmitted(t *testing.T) {
 	v := serving(t)
 	both := append(targets("1", 3), targets("2", 3)...)
 	admitted(v, both, catalog.Rollout{}, false, at(10, 12))
-	// Later entries don't prolong the wait of those that were met before.
+	// Later entries don't prolong the wait of those that were seen before.
 	if got := admitted(v, both, catalog.Rollout{}, false, at(12, 20)); got["2"] != 3 {
 		t.Errorf("no order up to the entries' revision: admitted %v", got)
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestVersionsOfAProcessThatBeginsInTheMiddle(t *testing.T) {
+func TestVersionsAfterARestartDuringARollout(t *testing.T) {
 	both := append(targets("1", 3), targets("2", 3)...)
 	v := NewVersions()
 	if got := admitted(v, both, order(catalog.RolloutRunning, 50), true, at(0, 12)); got["1"] != 3 || !v.OnTrial("api", "2") {
@@ -67,11 +67,11 @@
 		t.Errorf("orders not known: admitted %v", got)
 	}
 	if got := admitted(v, both, order(catalog.RolloutRunning, 50), true, at(12, 12)); got["1"] != 3 || !v.OnTrial("api", "2") {
-		t.Errorf("order comes: admitted %v, on trial: %v", got, v.OnTrial("api", "2"))
+		t.Errorf("order arrives: admitted %v, on trial: %v", got, v.OnTrial("api", "2"))
 	}
 }
 
-func TestVersionInServiceOrderedAgain(t *testing.T) {
+func TestVersionInServiceStaysAdmittedWhenOrderedAgain(t *testing.T) {
 	v := serving(t)
 	again := catalog.Rollout{Service: "api", Version: "1"}
 	if got := admitted(v, targets("1", 3), again, true, at(12, 9)); got["1"] != 3 || v.OnTrial("api", "1") {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestVersionsAfterAVerdict(t *testing.T) {
+func TestVersionsAdmittedAfterARolloutHasEnded(t *testing.T) {
 	both := append(targets("1", 3), targets("2", 3)...)
 	v := serving(t)
 	admitted(v, both, order(catalog.RolloutRunning, 50), true, at(12, 12))
@@ -98,22 +98,22 @@
 	}
 }
 
-func TestVersionOnTrialIsNotTheBaselineWhenOldTargetsAreDown(t *testing.T) {
+func TestVersionStaysOnTrialWhileBaselineTargetsAreDown(t *testing.T) {
 	v := serving(t)
 	both := append(targets("1", 3), targets("2", 3)...)
 	admitted(v, both, order(catalog.RolloutRunning, 50), true, at(12, 12))
 	admitted(v, targets("2", 3), order(catalog.RolloutRunning, 50), true, at(14, 13))
 	if !v.OnTrial("api", "2") {
-		t.Error("the version on trial took the place of the one in service")
+		t.Error("the version on trial is treated as the one in service")
 	}
 }
 
-func TestVersionsTakeTargetsOfTheVersionBeforeThatComeAfterACompletion(t *testing.T) {
+func TestNewTargetsOfTheReplacedVersionAreAdmittedAfterCompletion(t *testing.T) {
 	both := append(targets("1", 3), targets("2", 3)...)
 	v := serving(t)
 	admitted(v, both, order(catalog.RolloutRunning, 50), true, at(12, 12))
 	admitted(v, both, order(catalog.RolloutCompleted, 1000), true, at(14, 12))
-	later := targets("1", 5)[3:] // other ids than those that were replaced
+	later := targets("1", 5)[3:] // other ids than the replaced targets
 	if got := admitted(v, append(both, later...), order(catalog.RolloutCompleted, 1000), true, at(16, 16)); got["1"] != 2 || got["2"] != 3 {
 		t.Errorf("admitted %v", got)
 	}
--- a/core/gateway/routing/routing.go
+++ b/core/gateway/routing/routing.go
@@ -1,10 +1,11 @@
-// Package routing holds the routes of one configuration version: which service
-// takes a request, by host and by the longest path prefix, and how the request
-// may be treated. A Table never changes once made.
+// Package routing holds the routes of one configuration version: which service takes a
+// request, by host and by the longest path prefix, and how the request may be treated. A
+// Table is immutable.
 //
-// It owns the rule by which a route is found and a service is picked. It relies on
-// core/gateway/workspace for the keys of a version, does no I/O and draws no random numbers. The fields of Config and of what it is made of are open, since the
-// adapter fills them in; a Table is read through methods.
+// The package owns the rules by which a route is matched and a service is picked. It
+// depends on core/gateway/workspace for the API keys of a version, does no I/O and draws no
+// random numbers. The fields of Config and of its parts are exported, since the adapter
+// fills them in; a Table is read through methods.
 //
 // # Usage
 //
@@ -21,45 +22,47 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/workspace"
 )
 
-// Share is one part of a route's traffic.
+// Share is a service's share of a route's traffic.
 type Share struct {
 	Service string
 	// Weight is relative to the weights of the route's other shares.
 	Weight float64
 }
 
-// Route says where requests go and what may be done with them.
+// Route describes which requests a route matches, where they go and how they may be
+// treated.
 type Route struct {
-	// Name is for people; Host and Prefix find the route.
+	// Name is for display; Host and Prefix match requests.
 	Name   string
 	Host   string
 	Prefix string
 	// Shares are the services that take the requests.
 	Shares []Share
-	// Repeatable says whether a request may run more than once.
+	// Repeatable says whether a request may be executed more than once.
 	Repeatable bool
-	// Objective is the time within which an answer is worth most.
+	// Objective is the latency objective, within which a response has its full value.
 	Objective time.Duration
-	// Timeout is the longest that a request may be held.
+	// Timeout bounds the time that a request may be held.
 	Timeout time.Duration
-	// MaxAttempts bounds the targets that one request may be sent to.
+	// MaxAttempts bounds the number of targets to which one request may be sent.
 	MaxAttempts int
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int
-	// Regions are those whose targets may have the requests; nil for all, empty for none.
+	// Regions are those whose targets may receive the requests; nil for all, empty for
+	// none.
 	Regions []string
-	// Public says that requests need no key, where the configuration has workspaces.
+	// Public says that requests need no key where the configuration has workspaces.
 	Public bool
 }
 
-// Allows says whether targets of a region may have the route's requests. A region that
-// is not known is none of those that a route names.
+// Allows reports whether targets of a region may receive the route's requests. A region
+// that is not known is not allowed where the route names regions.
 func (r *Route) Allows(region string, known bool) bool {
 	return r.Regions == nil || known && slices.Contains(r.Regions, region)
 }
 
-// CommonRegions are the regions that two lists allow, of which an empty one allows all: nil
-// for all, an empty list for none. The lists are not changed.
+// CommonRegions returns the regions that both lists allow, where an empty list allows all:
+// nil for all, an empty list for none. The lists are not changed.
 func CommonRegions(a, b []string) []string {
 	switch {
 	case len(a)+len(b) == 0:
@@ -72,24 +75,24 @@
 	return slices.DeleteFunc(slices.Clone(a), func(region string) bool { return !slices.Contains(b, region) })
 }
 
-// Service describes the targets of one service as a whole.
+// Service holds the settings that all targets of a service share.
 type Service struct {
 	Name string
-	// HealthPath is where a target answers health probes.
+	// HealthPath is the path of a target's health check.
 	HealthPath string
-	// ColdRate is how many requests a second a cold target bears; 0 if nobody says.
+	// ColdRate is how many requests per second a cold target can handle; 0 if not known.
 	ColdRate float64
 }
 
-// Limits bound what clients may send and how long they may stay; a field that is
-// 0 sets no limit of its own.
+// Limits bound what clients may send and how long they may take; a field that is 0 sets no
+// limit of its own.
 type Limits struct {
-	// HeaderBytes bounds the head of a request, in bytes.
+	// HeaderBytes bounds the request line and header of a request, in bytes.
 	HeaderBytes int
 	// BodyBytes bounds the body of a request, in bytes; 0 for no bound.
 	BodyBytes int64
-	// HeaderTimeout bounds the time in which a client sends the head of a request,
-	// IdleTimeout that for which its connection stays idle.
+	// HeaderTimeout bounds the time in which a client sends the request line and header,
+	// IdleTimeout the time for which its connection may be idle.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -100,23 +103,23 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Workspaces are those whose keys are asked for; nil where no key is, empty where
-	// there is none that would do.
+	// Workspaces are those whose keys are accepted; nil where no key is required, empty
+	// where a key is required but none is valid.
 	Workspaces []workspace.Config
 }
 
-// Table answers which route a request takes.
+// Table matches requests with routes.
 type Table struct {
 	version  uint64
 	limits   Limits
 	byHost   map[string][]*Route
 	services map[string]*Service
 	regions  []string
-	// workspaces is nil where no keys are asked for.
+	// workspaces is nil where no keys are required.
 	workspaces *workspace.Directory
 }
 
-// New makes the table of a configuration.
+// New returns the table of a configuration.
 func New(c Config) *Table {
 	t := &Table{
 		version: c.Version, limits: c.Limits,
@@ -147,22 +150,22 @@
 // Version is the configuration's version.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits are the bounds on clients.
+// Limits returns the bounds on clients.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Service finds a service by name.
+// Service returns a service by name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Workspaces are those whose keys are asked for; nil where no key is.
+// Workspaces returns those whose keys are accepted; nil where no key is required.
 func (t *Table) Workspaces() *workspace.Directory { return t.workspaces }
 
-// Regions are those that any route names, in order.
+// Regions lists the regions that any route or workspace names, sorted.
 func (t *Table) Regions() []string { return t.regions }
 
-// Match finds the route of a request. A port in host is not looked at.
+// Match returns the route of a request. A port in host is ignored.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, route := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -179,18 +182,19 @@
 	return strings.ToLower(host)
 }
 
-// Pick chooses the service of a request; draw is uniform in [0, 1).
+// Pick returns the service of a request by a weighted random choice; draw is uniform in [0,
+// 1).
 func (r *Route) Pick(draw float64) string {
 	total := 0.0
 	for _, share := range r.Shares {
 		total += share.Weight
 	}
-	left := draw * total
+	remaining := draw * total
 	for _, share := range r.Shares {
-		if left < share.Weight {
+		if remaining < share.Weight {
 			return share.Service
 		}
-		left -= share.Weight
+		remaining -= share.Weight
 	}
 	if len(r.Shares) == 0 {
 		return ""
--- a/core/gateway/routing/routing_test.go
+++ b/core/gateway/routing/routing_test.go
@@ -19,10 +19,10 @@
 	}, Services: []routing.Service{{Name: "front", HealthPath: "/health"}}})
 }
 
-func TestARouteAllowsTheRegionsThatItNames(t *testing.T) {
+func TestRouteAllowsOnlyTheRegionsItNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		regions []string
-		of      string
+		region      string
 		known   bool
 		allowed bool
 	}{
@@ -37,12 +37,12 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			route := routing.Route{Regions: c.regions}
-			g.Expect(route.Allows(c.of, c.known)).To(Equal(c.allowed))
+			g.Expect(route.Allows(c.region, c.known)).To(Equal(c.allowed))
 		})
 	}
 }
 
-func TestTheRegionsThatRoutesName(t *testing.T) {
+func TestTableListsRegionsOfRoutesSortedAndUnique(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(table().Regions()).To(BeEmpty())
 	g.Expect(routing.New(routing.Config{Routes: []routing.Route{
@@ -50,7 +50,7 @@
 	}}).Regions()).To(Equal([]string{"north", "south"}))
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestMatchingPrefixOfTheHostIsSelected(t *testing.T) {
 	for _, c := range []struct{ host, path, want string }{
 		{"shop.example", "/", "all"},
 		{"shop.example", "/orders", "all"},
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestRequestsAreDividedByWeight(t *testing.T) {
+func TestPickDistributesRequestsByWeight(t *testing.T) {
 	g := NewWithT(t)
 	route := routing.Route{Shares: []routing.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "none", Weight: 0}}}
 	count := map[string]int{}
--- a/core/gateway/signal/board.go
+++ b/core/gateway/signal/board.go
@@ -227,7 +227,7 @@
 			}
 		}
 	}
-	return changes.First(b.log, lacking, maxUpdates)
+	return changes.NextBatch(b.log, lacking, maxUpdates)
 }
 
 // Tick forgets what is not shared any more. It should be called some times a minute.
--- a/core/gateway/snapshot/snapshot.go
+++ b/core/gateway/snapshot/snapshot.go
@@ -1,8 +1,8 @@
-// Package snapshot is what a gateway believes of its surroundings at one moment,
-// as its data path looks at it: the routes in force and the targets that take
-// requests. A Snapshot never changes once made, so that it is read without a lock.
+// Package snapshot holds a gateway's view at one moment, as its data path reads it: the
+// routes in effect and the targets that take requests. A Snapshot is immutable, so that it
+// is read without a lock.
 //
-// It stands below both who makes it (internal/gateway/discovery) and who uses it
+// It is imported both by its producer (internal/gateway/discovery) and by its consumer
 // (internal/gateway/forward).
 //
 // # Usage
@@ -18,7 +18,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/routing"
 )
 
-// Snapshot is what is believed at one moment.
+// Snapshot is the view at one moment.
 type Snapshot struct {
 	table     *routing.Table
 	targets   map[string][]catalog.Target
@@ -27,14 +27,13 @@
 	leaving   map[catalog.Life]bool
 }
 
-// New makes a snapshot of the routes in force and of the targets that take
-// requests, by service. table is nil while no configuration is known. Neither may
-// be changed afterwards.
+// New returns a snapshot of the routes in effect and of the targets that take requests, by
+// service. table is nil while no configuration is known. Neither may be changed afterwards.
 func New(table *routing.Table, targets map[string][]catalog.Target) *Snapshot {
 	return &Snapshot{table: table, targets: targets}
 }
 
-// WithEvacuated returns a copy that says how many targets of each service take no
+// WithEvacuated returns a copy with the number of targets of each service that take no
 // requests since their halls are evacuated.
 func (s *Snapshot) WithEvacuated(evacuated map[string]int) *Snapshot {
 	c := *s
@@ -42,44 +41,44 @@
 	return &c
 }
 
-// WithRollouts returns a copy that says which targets the rollouts under way assign, by
-// service. Targets that are only on trial are in these alone.
+// WithRollouts returns a copy with the assignments of the active rollouts, by service.
+// Targets that are on trial are only in these.
 func (s *Snapshot) WithRollouts(rollouts map[string]rollout.Assignment) *Snapshot {
 	c := *s
 	c.rollouts = rollouts
 	return &c
 }
 
-// WithLeaving returns a copy that says which targets leave and take no new requests.
+// WithLeaving returns a copy with the targets that are leaving and take no new requests.
 func (s *Snapshot) WithLeaving(leaving map[catalog.Life]bool) *Snapshot {
 	c := *s
 	c.leaving = leaving
 	return &c
 }
 
-// IsLeaving says whether a target is known to leave.
+// IsLeaving reports whether a target is known to be leaving.
 func (s *Snapshot) IsLeaving(life catalog.Life) bool { return s.leaving[life] }
 
-// Leaving is how many targets are known to leave.
+// Leaving returns the number of targets that are known to be leaving.
 func (s *Snapshot) Leaving() int { return len(s.leaving) }
 
-// Table holds the routes in force; it is nil while no configuration is known.
+// Table returns the routes in effect; it is nil while no configuration is known.
 func (s *Snapshot) Table() *routing.Table { return s.table }
 
-// Targets are the targets of a service that take new requests.
+// Targets returns the targets of a service that take new requests.
 func (s *Snapshot) Targets(service string) []catalog.Target { return s.targets[service] }
 
-// Evacuated is how many targets of a service take no requests since their halls are
-// evacuated.
+// Evacuated returns the number of targets of a service that take no requests since their
+// halls are evacuated.
 func (s *Snapshot) Evacuated(service string) int { return s.evacuated[service] }
 
-// Rollout is what the rollout of a service assigns; false where none is under way.
+// Rollout returns the assignment of a service's rollout; false if none is active.
 func (s *Snapshot) Rollout(service string) (rollout.Assignment, bool) {
 	a, ok := s.rollouts[service]
 	return a, ok
 }
 
-// Connectable lists all targets that may get a request, those on trial among them.
+// Connectable lists all targets that may get a request, including those on trial.
 func (s *Snapshot) Connectable() []catalog.Target {
 	var all []catalog.Target
 	for _, targets := range s.targets {
@@ -91,5 +90,5 @@
 	return all
 }
 
-// ByService are the targets of each service that take new requests.
+// ByService returns the targets of each service that take new requests.
 func (s *Snapshot) ByService() map[string][]catalog.Target { return s.targets }
--- a/core/gateway/snapshot/snapshot_test.go
+++ b/core/gateway/snapshot/snapshot_test.go
@@ -11,7 +11,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/snapshot"
 )
 
-func TestASnapshotOfNothingIsUsable(t *testing.T) {
+func TestSnapshotWithoutTableAndTargetsIsUsable(t *testing.T) {
 	g := NewWithT(t)
 	s := snapshot.New(nil, nil)
 	g.Expect(s.Table()).To(BeNil())
