--- a/core/gateway/rollout/analysis.go
+++ b/core/gateway/rollout/analysis.go
@@ -144,7 +144,7 @@
 	if bad <= n*limit {
 		return 1
 	}
-	return mixtureRatio(bad, n, m.maxShareOf(baseline)+allowed)
+	return mixtureRatio(bad, n, m.shareUpperBound(baseline)+allowed)
 }
 
 // mixtureRatio returns the likelihood ratio of the shares above a limit, with equal
@@ -165,9 +165,9 @@
 	return (priorBad + float64(m.count(c))) / (priorBad + priorGood + float64(m.sends(c)))
 }
 
-// maxShareOf returns the upper bound of a version's share of bad responses, which holds
+// shareUpperBound returns the upper bound of a version's share of bad responses, which holds
 // with probability baselineConfidence.
-func (m measure) maxShareOf(c Counts) float64 {
+func (m measure) shareUpperBound(c Counts) float64 {
 	n := float64(m.sends(c))
 	bad := min(float64(m.count(c)), n)
 	return distuv.Beta{Alpha: priorBad + bad, Beta: priorGood + n - bad}.Quantile(baselineConfidence)
--- a/core/gateway/rollout/assign_test.go
+++ b/core/gateway/rollout/assign_test.go
@@ -50,18 +50,18 @@
 
 func TestCanaryTargetsOfEarlierStagesAreKept(t *testing.T) {
 	both := append(targets("1", 30), targets("2", 30)...)
-	met := map[string]bool{}
+	earlier := map[string]bool{}
 	for _, permille := range []int{50, 200, 1000} {
-		now := map[string]bool{}
+		current := map[string]bool{}
 		for _, target := range Assign(order(catalog.RolloutRunning, permille), both, true).Canary() {
-			now[target.ID] = true
+			current[target.ID] = true
 		}
-		for id := range met {
-			if !now[id] {
+		for id := range earlier {
+			if !current[id] {
 				t.Errorf("%s of an earlier stage is not in the canary at %d‰", id, permille)
 			}
 		}
-		met = now
+		earlier = current
 	}
 }
 
--- a/core/gateway/rollout/decide.go
+++ b/core/gateway/rollout/decide.go
@@ -163,12 +163,12 @@
 // evidence against it since the order; or there is little, and none since the stage began.
 // In the stage before, the canary may have had so few targets that faulty ones had a large
 // effect.
-func (s State) isHealthy(w finding) bool {
-	if w.statistic < suspectRatio && isTotalHealthy(s.Evidence, s.Evidence.Routes, acceptRatio) {
+func (s State) isHealthy(strongest finding) bool {
+	if strongest.statistic < suspectRatio && isTotalHealthy(s.Evidence, s.Evidence.Routes, acceptRatio) {
 		return true
 	}
 	stage := s.Evidence.within(s.StageAge)
-	return w.statistic < urgentRollbackRatio && strongestFinding(stage).statistic < suspectRatio &&
+	return strongest.statistic < urgentRollbackRatio && strongestFinding(stage).statistic < suspectRatio &&
 		isTotalHealthy(stage, s.Evidence.Routes, stageAcceptRatio)
 }
 
--- a/core/gateway/rollout/evidence_test.go
+++ b/core/gateway/rollout/evidence_test.go
@@ -7,8 +7,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func report(gateway string, life, sends, failed uint64) Report {
-	return Report{Gateway: gateway, Start: life, Counts: []RouteCounts{
+func report(gateway string, incarnation, sends, failed uint64) Report {
+	return Report{Gateway: gateway, Start: incarnation, Counts: []RouteCounts{
 		{Route: "r", Canary: true, Counts: Counts{Sends: sends, Failed: failed}},
 	}}
 }
@@ -32,12 +32,12 @@
 	l.Add(start, Report{Gateway: "a", Permille: 1000, BaselineActive: 2})
 	l.Add(start, Report{Gateway: "b", Permille: 500})
 	l.Add(start, Report{Gateway: "gone", BaselineActive: 9})
-	touch := []string{"a", "b", "c"}
-	got := l.Behind(start.Add(time.Second), 1000, touch)
+	gateways := []string{"a", "b", "c"}
+	got := l.Behind(start.Add(time.Second), 1000, gateways)
 	if len(got) != 2 || got[0] != (Lag{Gateway: "b", Age: time.Second}) || got[1] != (Lag{Gateway: "c", Age: -1}) {
 		t.Errorf("behind: %+v", got)
 	}
-	if n := l.BaselineActive(touch); n != 2 {
+	if n := l.BaselineActive(gateways); n != 2 {
 		t.Errorf("%d in flight, want 2", n)
 	}
 }
--- a/core/gateway/rollout/play_test.go
+++ b/core/gateway/rollout/simulation_test.go
@@ -83,7 +83,7 @@
 	completions      map[int][]completion
 	active           [2][]int // by version (sideIndex) and gateway
 	counts           []map[RouteCounts]Counts
-	ledger           *ReportLog
+	reports          *ReportLog
 	stage            time.Duration
 	out              result
 	total            float64
@@ -91,7 +91,7 @@
 
 func (p simulation) run() result {
 	g := &simulator{
-		simulation: p, rng: rand.New(rand.NewPCG(p.seed, 7)), ledger: NewReportLog(), completions: map[int][]completion{},
+		simulation: p, rng: rand.New(rand.NewPCG(p.seed, 7)), reports: NewReportLog(), completions: map[int][]completion{},
 		order: catalog.Rollout{Service: "api", Version: "2", Within: p.within},
 	}
 	if g.decide == nil {
@@ -123,21 +123,21 @@
 
 func (g *simulator) step(now time.Duration) {
 	g.stages = append(g.stages, g.order)
-	sent := g.appliedOrder(now)
+	applied := g.appliedOrder(now)
 	for range poisson(g.rng, g.rate*g.loadFactor(now)*simTick.Seconds()) {
-		g.request(now, sent)
+		g.request(now, applied)
 	}
-	tick := int(now / simTick)
-	for _, k := range g.completions[tick] {
-		side := k.side
+	tickIndex := int(now / simTick)
+	for _, done := range g.completions[tickIndex] {
+		side := done.side
 		side.Counts = Counts{}
-		g.counts[k.gateway][side] = g.counts[k.gateway][side].Plus(k.side.Counts)
-		g.active[sideIndex(side.Canary)][k.gateway]--
+		g.counts[done.gateway][side] = g.counts[done.gateway][side].Plus(done.side.Counts)
+		g.active[sideIndex(side.Canary)][done.gateway]--
 	}
-	delete(g.completions, tick)
+	delete(g.completions, tickIndex)
 	for i := range simGateways {
 		if (now+simReportInterval*time.Duration(i)/simGateways)%simReportInterval < simTick {
-			g.report(now, i, sent.Permille)
+			g.report(now, i, applied.Permille)
 		}
 	}
 	if now%simDecideInterval < simTick && !g.order.State.Final() {
@@ -166,11 +166,11 @@
 	return 0
 }
 
-func (g *simulator) request(now time.Duration, sent catalog.Rollout) {
+func (g *simulator) request(now time.Duration, applied catalog.Rollout) {
 	g.total++
-	canary := sent.State == catalog.RolloutRunning && now >= simCanaryStart && g.rng.Float64()*FullShare < float64(sent.Permille)
+	canary := applied.State == catalog.RolloutRunning && now >= simCanaryStart && g.rng.Float64()*FullShare < float64(applied.Permille)
 	route := simRoutes[pickRoute(g.rng)].name
-	fails, slow := g.probabilities(now, sent, canary, route)
+	fails, slow := g.probabilities(now, applied, canary, route)
 	took := time.Duration((.5 + g.rng.Float64()) * float64(simLatency))
 	c := Counts{Sends: 1}
 	switch x := g.rng.Float64(); {
@@ -195,10 +195,10 @@
 }
 
 // probabilities returns the probabilities that a request fails and that it is slow.
-func (g *simulator) probabilities(now time.Duration, sent catalog.Rollout, canary bool, route string) (fails, slow float64) {
+func (g *simulator) probabilities(now time.Duration, applied catalog.Rollout, canary bool, route string) (fails, slow float64) {
 	hit := g.baselineAffected
 	if canary {
-		hit = g.canaryAffected[:canarySize(sent.Permille, g.targets)]
+		hit = g.canaryAffected[:canarySize(applied.Permille, g.targets)]
 	}
 	if hit[g.rng.IntN(len(hit))] {
 		fails, slow = g.disturbance.fails, g.disturbance.slow
@@ -222,14 +222,14 @@
 		side.Counts = c
 		r.Counts = append(r.Counts, side)
 	}
-	g.ledger.Add(start.Add(now), r)
+	g.reports.Add(start.Add(now), r)
 }
 
 func (g *simulator) decideOnce(now time.Duration) {
 	s := State{
 		Order: g.order, Limits: Limits{Share: .1, Slack: 50, RollBackWithin: 5 * time.Second},
 		Age: now, StageAge: now - g.stage, OnTrial: true, Baseline: g.targets,
-		Evidence: g.ledger.Evidence(start.Add(now)),
+		Evidence: g.reports.Evidence(start.Add(now)),
 	}
 	if now >= simCanaryStart {
 		s.Canary = g.targets
@@ -241,8 +241,8 @@
 	for i := range ids {
 		ids[i] = string(rune('a' + i))
 	}
-	s.Behind = g.ledger.Behind(start.Add(now), g.order.Permille, ids)
-	s.BaselineActive = g.ledger.BaselineActive(ids)
+	s.Behind = g.reports.Behind(start.Add(now), g.order.Permille, ids)
+	s.BaselineActive = g.reports.BaselineActive(ids)
 	d := g.decide(s)
 	switch d.Action {
 	case Wait:
--- a/core/gateway/rollout/table_test.go
+++ b/core/gateway/rollout/table_test.go
@@ -46,7 +46,7 @@
 	over, overHalf                int
 	exposed, maxExposure          float64
 	detection                     time.Duration
-	cut                           int
+	inFlight                      int
 }
 
 func (t *tally) add(p simulation, r result) {
@@ -56,7 +56,7 @@
 		if r.end.Action != Complete {
 			t.rolledBack++
 		}
-		t.cut += r.inFlight
+		t.inFlight += r.inFlight
 		return
 	}
 	t.bad++
@@ -81,31 +81,31 @@
 	n := max(t.bad-t.missed, 1)
 	return fmt.Sprintf("bad: missed %d of %d, detected after %v, exposure mean %.2f, max %.2f, above .5 %d, above 1 %d; "+
 		"good: rolled back %d of %d, in flight %d", t.missed, t.bad, (t.detection / time.Duration(n)).Round(10*time.Millisecond),
-		t.exposed/float64(n), t.maxExposure, t.overHalf, t.over, t.rolledBack, t.good, t.cut)
+		t.exposed/float64(n), t.maxExposure, t.overHalf, t.over, t.rolledBack, t.good, t.inFlight)
 }
 
 // simulateAll runs each simulation n times, with different seeds.
-func simulateAll(plays []simulation, n int) *tally {
+func simulateAll(runs []simulation, n int) *tally {
 	var (
-		out  tally
-		lock sync.Mutex
-		wait sync.WaitGroup
+		out tally
+		mu  sync.Mutex
+		wg  sync.WaitGroup
 	)
-	room := make(chan struct{}, min(runtime.GOMAXPROCS(0), 3))
-	for _, p := range plays {
+	semaphore := make(chan struct{}, min(runtime.GOMAXPROCS(0), 3))
+	for _, p := range runs {
 		for seed := range n {
 			p.seed = uint64(seed)
-			room <- struct{}{}
-			wait.Go(func() {
+			semaphore <- struct{}{}
+			wg.Go(func() {
 				r := p.run()
-				lock.Lock()
-				defer lock.Unlock()
+				mu.Lock()
+				defer mu.Unlock()
 				out.add(p, r)
-				<-room
+				<-semaphore
 			})
 		}
 	}
-	wait.Wait()
+	wg.Wait()
 	return &out
 }
 
@@ -136,15 +136,15 @@
 // or more is rolled back. A good version that seems bad may be rolled back as well.
 func TestBadVersionsAreRolledBackUnderDisturbances(t *testing.T) {
 	n := max(*runsPerRow, 2)
-	for name, trouble := range disturbances {
+	for name, disturbance := range disturbances {
 		for _, rate := range []float64{provableRate, 600} {
-			p := simulation{within: 12 * time.Second, rate: rate, targets: 100, disturbance: trouble}
-			plays := []simulation{p}
+			p := simulation{within: 12 * time.Second, rate: rate, targets: 100, disturbance: disturbance}
+			runs := []simulation{p}
 			for _, f := range []string{"fails .3", "fails .5", "slow .5", "slow", "fails .4 from 3.4 s"} {
 				p.defect = defects[f]
-				plays = append(plays, p)
+				runs = append(runs, p)
 			}
-			got := simulateAll(plays, n)
+			got := simulateAll(runs, n)
 			t.Logf("%-14s %4.0f/s: %v", name, rate, got)
 			if got.missed > 0 || got.over > 0 {
 				t.Errorf("%s, %.0f/s: %v", name, rate, got)
@@ -159,14 +159,14 @@
 	n := max(*runsPerRow/4, 1)
 	for _, within := range []time.Duration{8 * time.Second, 12 * time.Second, 16 * time.Second} {
 		for _, rate := range []float64{30, provableRate, 600} {
-			var plays []simulation
+			var runs []simulation
 			for from := time.Duration(0); from < within*2/3; from += within / 24 {
 				for _, f := range []defect{{fails: .3}, {fails: .5}, {slow: .5}, {slow: 1}} {
 					f.start = from
-					plays = append(plays, simulation{within: within, rate: rate, targets: 100, defect: f})
+					runs = append(runs, simulation{within: within, rate: rate, targets: 100, defect: f})
 				}
 			}
-			got := simulateAll(plays, n)
+			got := simulateAll(runs, n)
 			t.Logf("%v, %4.0f/s: %v", within, rate, got)
 			if got.over > 0 {
 				t.Errorf("%v, %.0f/s: %v", within, rate, got)
@@ -201,15 +201,15 @@
 
 // benchmarkStages simulates other stages of the share.
 func benchmarkStages(b *testing.B, n int) {
-	for name, way := range map[string]func(State) Decision{"stages by budget": Decide, "fixed stages": fixedStages} {
+	for name, decide := range map[string]func(State) Decision{"stages by budget": Decide, "fixed stages": fixedStages} {
 		for _, rate := range []float64{30, provableRate, 600} {
-			var plays []simulation
+			var runs []simulation
 			for from := 3 * time.Second; from < 9*time.Second; from += 250 * time.Millisecond {
 				f := defect{fails: .5, start: from}
-				plays = append(plays, simulation{within: 12 * time.Second, rate: rate, targets: 100, defect: f, decide: way})
+				runs = append(runs, simulation{within: 12 * time.Second, rate: rate, targets: 100, defect: f, decide: decide})
 			}
-			b.Logf("%s, %4.0f/s, fails .5 from various moments: %v", name, rate, simulateAll(append(plays, simulation{
-				within: 12 * time.Second, rate: rate, targets: 100, decide: way,
+			b.Logf("%s, %4.0f/s, fails .5 from various moments: %v", name, rate, simulateAll(append(runs, simulation{
+				within: 12 * time.Second, rate: rate, targets: 100, decide: decide,
 			}), n))
 		}
 	}
@@ -220,9 +220,9 @@
 	for name, way := range map[string]func(State) Decision{
 		"sequential": Decide, "20 responses, +.1": fixedThresholds(20, .1), "40 responses, +.15": fixedThresholds(40, .15),
 	} {
-		for trouble, hits := range disturbances {
-			p := simulation{within: 12 * time.Second, rate: 600, targets: 100, disturbance: hits, decide: way}
-			b.Logf("%s, %s: %v", name, trouble, simulateAll(withEachDefect(p), n))
+		for kind, disturbance := range disturbances {
+			p := simulation{within: 12 * time.Second, rate: 600, targets: 100, disturbance: disturbance, decide: way}
+			b.Logf("%s, %s: %v", name, kind, simulateAll(withEachDefect(p), n))
 		}
 	}
 }
@@ -244,7 +244,7 @@
 
 // fixedThresholds decides by fixed thresholds with minimum counts instead: a version is bad
 // once its share of bad responses, of at least so many, exceeds the baseline's by a margin.
-func fixedThresholds(least uint64, margin float64) func(State) Decision {
+func fixedThresholds(minSends uint64, margin float64) func(State) Decision {
 	return func(s State) Decision {
 		window := Routes{}
 		for i, slice := range s.Evidence.Slices {
@@ -252,7 +252,7 @@
 			for _, p := range window.withAll() {
 				for _, m := range measures {
 					n := m.sends(p.Canary)
-					if n >= least && float64(m.count(p.Canary))/float64(n) > m.expectedShare(p.Baseline)+margin {
+					if n >= minSends && float64(m.count(p.Canary))/float64(n) > m.expectedShare(p.Baseline)+margin {
 						return Decision{Action: RollBack, Reason: m.reason}
 					}
 				}
--- a/core/gateway/rollout/versions.go
+++ b/core/gateway/rollout/versions.go
@@ -38,13 +38,13 @@
 //   - whose version was never seen in service while others were, until orders are known up
 //     to the revision at which the target was known;
 //   - whose version is on trial without an order, or was replaced, while there are others.
-func (v *Versions) Admit(service string, targets []catalog.Target, r catalog.Rollout, ordered bool, at catalog.Position) []catalog.Target {
+func (v *Versions) Admit(service string, targets []catalog.Target, r catalog.Rollout, ordered bool, position catalog.Position) []catalog.Target {
 	s := v.service(service)
 	if ordered {
 		s.applyOrder(r, targets)
 	}
 	present := s.present(targets)
-	s.observe(targets, at)
+	s.observe(targets, position)
 	presumed := s.presumedServing(present)
 	admitted := make([]catalog.Target, 0, len(targets))
 	for _, t := range targets {
@@ -130,7 +130,7 @@
 // observe records the revision up to which targets were known when those of new versions
 // were first seen, and which versions are in service: those for which no order can be
 // missing.
-func (s *serviceVersions) observe(targets []catalog.Target, at catalog.Position) {
+func (s *serviceVersions) observe(targets []catalog.Target, position catalog.Position) {
 	firstSeen := map[catalog.Life]uint64{}
 	for _, t := range targets {
 		if !s.isNew(t.Version) || s.retired[t.Life()] {
@@ -138,10 +138,10 @@
 		}
 		since, seenBefore := s.firstSeen[t.Life()]
 		if !seenBefore {
-			since = at.Changed
+			since = position.Changed
 		}
 		firstSeen[t.Life()] = since
-		if at.Rollouts > 0 && at.Rollouts >= since && !t.Leaving {
+		if position.Rollouts > 0 && position.Rollouts >= since && !t.Leaving {
 			s.serving[t.Version] = true
 		}
 	}
--- a/core/gateway/routing/routing.go
+++ b/core/gateway/routing/routing.go
@@ -80,7 +80,7 @@
 	Name string
 	// HealthPath is the path of a target's health check.
 	HealthPath string
-	// ColdRate is how many requests per second a cold target can handle; 0 if not known.
+	// ColdRate is the requests per second that a cold target can handle; 0 if not configured.
 	ColdRate float64
 }
 
--- a/core/gateway/routing/routing_test.go
+++ b/core/gateway/routing/routing_test.go
@@ -22,17 +22,17 @@
 func TestRouteAllowsOnlyTheRegionsItNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		regions []string
-		region      string
+		region  string
 		known   bool
 		allowed bool
 	}{
-		"all where it names none":       {nil, "north", true, true},
-		"an unknown one, likewise":      {nil, "", false, true},
-		"one that it names":             {[]string{"south", "north"}, "north", true, true},
-		"one that it does not":          {[]string{"south"}, "north", true, false},
-		"an unknown one, not":           {[]string{"south"}, "", false, false},
-		"an unknown one of that name":   {[]string{"south"}, "south", false, false},
-		"none where none is left to it": {[]string{}, "north", true, false},
+		"route without regions allows a known one":    {nil, "north", true, true},
+		"route without regions allows an unknown one": {nil, "", false, true},
+		"named region":     {[]string{"south", "north"}, "north", true, true},
+		"region not named": {[]string{"south"}, "north", true, false},
+		"unknown region":   {[]string{"south"}, "", false, false},
+		"unknown region with the name of an allowed one": {[]string{"south"}, "south", false, false},
+		"empty list allows none":                         {[]string{}, "north", true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
