--- a/core/gateway/rollout/age.go
+++ b/core/gateway/rollout/age.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxClockSkew is the assumed difference between the wall clocks of gateways, which is
-	// seconds. It is added to the age that a record's timestamp gives where this process
+	// maxClockSkew is the assumed difference between the wall clocks of gateways, which can
+	// be seconds. It is added to the age that a record's timestamp gives where this process
 	// can't bound the age otherwise.
 	maxClockSkew = 2 * time.Second
 	// unknownAge is the age of an order that may have been pending for any length of time.
--- a/core/gateway/rollout/analysis.go
+++ b/core/gateway/rollout/analysis.go
@@ -43,7 +43,7 @@
 	priorBad  = 0.5
 	priorGood = 9.5
 	// baselineConfidence is the probability with which the baseline's true share of bad
-	// responses does not exceed its upper bound (maxShareOf).
+	// responses does not exceed its upper bound (shareUpperBound).
 	baselineConfidence = 0.99
 	// minBaselineSends is how many sends to the baseline a window must have for the
 	// canary's to be compared with them. In other windows the canary is compared with the
@@ -133,18 +133,18 @@
 // few sends in the pair, its sends on the route since the order are used, or else those on
 // all routes.
 func (m measure) statistic(pair Pair, route, all Pair) float64 {
-	baseline, allowed := pair.Baseline, m.tolerance
+	baseline, tolerance := pair.Baseline, m.tolerance
 	for _, fallback := range []Counts{route.Baseline, all.Baseline} {
 		if m.sends(baseline) < minBaselineSends {
-			baseline, allowed = fallback, m.tolerance+fallbackMargin
+			baseline, tolerance = fallback, m.tolerance+fallbackMargin
 		}
 	}
 	bad, n := float64(m.count(pair.Canary)), float64(m.sends(pair.Canary))
-	limit := m.expectedShare(baseline) + allowed
+	limit := m.expectedShare(baseline) + tolerance
 	if bad <= n*limit {
 		return 1
 	}
-	return mixtureRatio(bad, n, m.shareUpperBound(baseline)+allowed)
+	return mixtureRatio(bad, n, m.shareUpperBound(baseline)+tolerance)
 }
 
 // mixtureRatio returns the likelihood ratio of the shares above a limit, with equal
--- a/core/gateway/rollout/decide.go
+++ b/core/gateway/rollout/decide.go
@@ -58,7 +58,7 @@
 )
 
 // String returns an action's name in log lines.
-func (v Action) String() string { return [...]string{"wait", "advance", "complete", "roll back"}[v] }
+func (a Action) String() string { return [...]string{"wait", "advance", "complete", "roll back"}[a] }
 
 // Reason is why a decision was made.
 type Reason uint8
--- a/core/gateway/rollout/stages.go
+++ b/core/gateway/rollout/stages.go
@@ -8,8 +8,8 @@
 const (
 	// rampStart is the share of an order's time after which the first share grows: a
 	// version may turn bad some seconds after its start, and costs little if it does so
-	// before the ramp. A later ramp would leave too little time for delays, such as an
-	// unreachable store.
+	// before the ramp. The rest of the time, which is more than the other stages need, is a
+	// reserve for delays such as an unreachable store.
 	rampStart = 0.55
 	// firstStageBudget and middleStageBudget are the shares of a bad version's allowed
 	// exposure that the first and the middle stage use. In simulations with a quarter for
@@ -64,8 +64,8 @@
 }
 
 // fractionOf returns a share of a duration.
-func fractionOf(d time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(d))
+func fractionOf(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(d))
 }
 
 // middleStageDuration returns how long the middle stage lasts.
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -58,7 +58,7 @@
 	duties = append(duties, g.quota.Duties()...)
 	duties = append(duties, g.signals.Duties()...)
 	if g.delivery != nil {
-		duties = append(duties, g.delivery.Duties()...)
+		duties = append(duties, g.delivery.Tasks()...)
 	}
 	for _, duty := range duties {
 		group.Add(func() error { return lifecycle.UntilEnded(ctx, duty) }, func(error) { end() })
--- a/internal/gateway/delivery/decide.go
+++ b/internal/gateway/delivery/decide.go
@@ -9,40 +9,40 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// decide is the duty of deciding on the rollouts while this gateway reads the store.
+// decide is the loop that decides on the rollouts while this gateway reads the store.
 func (d *Delivery) decide(ctx context.Context) error {
 	for {
 		changed := d.options.Changed()
-		underWay := d.look(d.options.Clock())
-		if underWay && d.decides() {
+		active := d.refresh(d.options.Clock())
+		if active && d.isDecider() {
 			d.decideAll(ctx)
 		}
-		if !d.wait(ctx, underWay, changed) {
+		if !d.wait(ctx, active, changed) {
 			return nil
 		}
 	}
 }
 
-// decides says whether deciding falls to this gateway.
-func (d *Delivery) decides() bool { return d.options.Reads() && !d.options.Leaving() }
+// isDecider reports whether this gateway may decide on rollouts.
+func (d *Delivery) isDecider() bool { return d.options.Reads() && !d.options.Leaving() }
 
 // decideAll decides on each rollout that has not ended.
 func (d *Delivery) decideAll(ctx context.Context) {
 	peers := d.options.Peers()
-	for _, r := range d.underWay() {
+	for _, r := range d.unfinished() {
 		standing := d.options.Standing(r)
-		if w, ok := d.next(r.Service, standing, peers); ok {
+		if w, ok := d.nextWrite(r.Service, standing, peers); ok {
 			go d.record(ctx, w)
 		}
 	}
 }
 
-// underWay lists the rollouts that have not ended, as they were last seen.
-func (d *Delivery) underWay() []catalog.Rollout {
+// unfinished lists the rollouts that have not ended, in their latest known state.
+func (d *Delivery) unfinished() []catalog.Rollout {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []catalog.Rollout
-	for _, c := range d.courses {
+	for _, c := range d.tracked {
 		if !c.order.State.Final() {
 			out = append(out, c.order)
 		}
@@ -50,23 +50,23 @@
 	return out
 }
 
-// next works out what is to be written of a rollout now, and notes that it is under way.
-func (d *Delivery) next(service string, standing discovery.Standing, peers []string) (write, bool) {
+// nextWrite returns the write that a rollout needs now, if any, and marks it as in flight.
+func (d *Delivery) nextWrite(service string, standing discovery.Standing, peers []string) (write, bool) {
 	now := d.options.Clock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c, ok := d.courses[service]
+	c, ok := d.tracked[service]
 	if !ok || c.order.State.Final() {
 		return write{}, false
 	}
 	w := write{rollout: c.order, before: c.order}
 	if c.isDecidedBy(d.options.Self.ID) {
 		w.decision = d.options.Decide(d.state(now, c, standing, peers))
-		if w.decision.Action == rollout.Wait || c.lacksReports(now) && w.decision.Action != rollout.RollBack {
+		if w.decision.Action == rollout.Wait || c.mayLackReports(now) && w.decision.Action != rollout.RollBack {
 			return write{}, false
 		}
-		w.apply()
-	} else if !d.takesOver(now, c) {
+		w.applyDecision()
+	} else if !d.shouldTakeOver(now, c) {
 		return write{}, false
 	}
 	// The age never falls below the recorded one: that would look like another order.
@@ -79,43 +79,42 @@
 	return w, true
 }
 
-// mayWrite says whether the rate of this gateway's writes leaves room for one. A roll-back
-// takes none from others and waits for none: it is due within seconds.
+// mayWrite reports whether the rate limit of this gateway's writes allows one. A roll-back
+// neither counts against the limit nor waits for it: it is due within seconds.
 func (d *Delivery) mayWrite(now time.Time, state catalog.RolloutState) bool {
-	return state == catalog.RolloutRolledBack || d.writes.AllowN(now, 1)
+	return state == catalog.RolloutRolledBack || d.writeLimiter.AllowN(now, 1)
 }
 
-// isDecidedBy says whether deciding on the rollout is up to a gateway that reads the store:
-// nothing is recorded yet, or it is the one that is named.
-func (c *course) isDecidedBy(id string) bool {
+// isDecidedBy reports whether a gateway that reads the store may decide on the rollout
+// without a takeover: nothing is recorded yet, or the gateway is named as the decider.
+func (c *trackedRollout) isDecidedBy(id string) bool {
 	return c.order.State == catalog.RolloutOrdered || c.order.Decider == id
 }
 
-// firstReportsWithin is how long the other gateways may take to report to one that has begun
-// to decide.
-const firstReportsWithin = 2 * reportEvery
+// initialReportWait is how long a new decider waits for the reports of the other gateways.
+const initialReportWait = 2 * reportInterval
 
-// lacksReports says whether the gateway that decides may lack reports of others.
-// It must only roll back then: it could go to the next stage without any report of the
-// version on trial.
-func (c *course) lacksReports(now time.Time) bool {
-	return c.order.State == catalog.RolloutRunning && now.Sub(c.named) < firstReportsWithin
+// mayLackReports reports whether the decider may still lack reports of other gateways. It
+// must only roll back then, since it could advance to the next stage without any report on
+// the version on trial.
+func (c *trackedRollout) mayLackReports(now time.Time) bool {
+	return c.order.State == catalog.RolloutRunning && now.Sub(c.deciderSince) < initialReportWait
 }
 
-// state is what a decision goes by; the lock is held.
-func (d *Delivery) state(now time.Time, c *course, standing discovery.Standing, peers []string) rollout.State {
-	inTouch := c.inTouch(now, peers)
+// state returns the input of a decision; the lock is held.
+func (d *Delivery) state(now time.Time, c *trackedRollout, standing discovery.Standing, peers []string) rollout.State {
+	reachable := c.reachable(now, peers)
 	return rollout.State{
 		Order: c.order, Limits: d.options.Limits,
-		Age: d.ages.Age(now, c.order.Service), StageAge: now.Sub(c.staged),
+		Age: d.ages.Age(now, c.order.Service), StageAge: now.Sub(c.stageSince),
 		OnTrial: standing.OnTrial, Baseline: standing.Baseline, Canary: standing.Canary, Warm: standing.Warm,
-		Evidence: c.ledger.Evidence(now), Behind: c.ledger.Behind(now, c.order.Permille, inTouch),
-		BaselineActive: c.ledger.BaselineActive(inTouch),
+		Evidence: c.reports.Evidence(now), Behind: c.reports.Behind(now, c.order.Permille, reachable),
+		BaselineActive: c.reports.BaselineActive(reachable),
 	}
 }
 
-// apply puts the decision into what is written.
-func (w *write) apply() {
+// applyDecision sets the state and the share to write by the decision.
+func (w *write) applyDecision() {
 	switch w.decision.Action {
 	case rollout.Advance:
 		w.rollout.State, w.rollout.Permille = catalog.RolloutRunning, w.decision.Permille
--- a/internal/gateway/delivery/delivery.go
+++ b/internal/gateway/delivery/delivery.go
@@ -1,32 +1,33 @@
-// Package delivery carries rollouts out (progressive delivery): while one is under way,
-// each gateway reports how its sends ended to the gateway that decides, and that one
-// records the stages and the verdict in the store.
+// Package delivery carries out rollouts (progressive delivery): while one is active, each
+// gateway reports the outcomes of its sends to the gateway that decides, which records the
+// stages and the end of the rollout in the store.
 //
-// The gateway that reads the store decides; nothing is agreed. What it records names it
-// and where it takes reports. Another one that reads takes over once that gateway does not
-// answer, or says that it no longer decides. Every write is conditional on the revision of
-// the rollout's object: of two that decide, one is refused and takes the object as it is.
-// What is decided, and when, is core/gateway/rollout.
+// The gateway that reads the store is the decider; there is no consensus protocol. What it
+// records names it and the address where it receives reports. Another gateway that reads
+// the store takes over once the decider does not answer, or answers that it no longer
+// decides. Every write is conditional on the revision of the rollout's object: of two
+// deciders, one has its write refused and adopts the object as it is. What is decided, and
+// when, is in core/gateway/rollout.
 //
-// It owns the reports that came in (rollout.Ledger), the ages of the orders
-// (rollout.Ages) and the writes under way, under one lock. It relies on
-// internal/gateway/discovery for what is believed, and on other gateways by net/rpc.
+// The package owns the received reports (rollout.ReportLog), the ages of the orders
+// (rollout.Ages) and the writes in flight, under one lock. It depends on
+// internal/gateway/discovery for the known state, and calls other gateways by net/rpc.
 //
-// The jobs, each with a file:
+// The parts, each in a file:
 //
-//	course.go    one rollout as this gateway follows it
-//	decide.go    the duty of deciding; touch.go: taking over from another gateway
-//	record.go    the writes, and how they end
-//	report.go    the duty of reporting; due.go: when a report is due
-//	serve.go     taking reports; protocol.go: what gateways say to each other
+//	tracked.go   one rollout as this gateway follows it
+//	decide.go    the deciding loop; takeover.go: taking over from another gateway
+//	record.go    the writes, and their results
+//	report.go    the reporting loop; due.go: when a report is due
+//	serve.go     receiving reports; protocol.go: the messages between gateways
 //	log.go       log lines
 //
 // # Usage
 //
 //	d := delivery.New(delivery.Options{Self: self, Rollouts: follower.Rollouts, ...})
 //	follower.Serve(listener, d.Service())
-//	for _, duty := range d.Duties() {
-//		group.Add(func() error { return duty(ctx) }, ...)
+//	for _, task := range d.Tasks() {
+//		group.Add(func() error { return task(ctx) }, ...)
 //	}
 package delivery
 
@@ -48,41 +49,42 @@
 )
 
 const (
-	// lookEvery is the pause between two looks at the rollouts while one is under way.
-	// A small part of the seconds within which a bad version must be stopped.
-	lookEvery = 50 * time.Millisecond
-	// idleEvery is that pause while none is. An order that turns up may have come just after
-	// the look before, and is taken to be so much older: a sixth of the 1.5 s that are a
-	// margin before its deadline. It makes few wake-ups where nothing is ordered.
-	idleEvery = 250 * time.Millisecond
-	// answerWithin bounds how long a report may take from the making of the connection to its
-	// answer: many times what it usually takes, a small part of the time in which a bad
-	// version must be stopped.
-	answerWithin = 300 * time.Millisecond
+	// activeInterval is how often the rollouts are checked while one is active. A small
+	// part of the seconds within which a bad version must be stopped.
+	activeInterval = 50 * time.Millisecond
+	// idleInterval is the same while none is active. A new order may have arrived just
+	// after the previous check, and is assumed to be that much older: a sixth of the 1.5 s
+	// of margin before its deadline. It makes few wake-ups where nothing is ordered.
+	idleInterval = 250 * time.Millisecond
+	// reportTimeout bounds a report from the start of the connection to the reply: many
+	// times what it usually takes, a small part of the time in which a bad version must be
+	// stopped.
+	reportTimeout = 300 * time.Millisecond
 )
 
 // Options configure a Delivery.
 type Options struct {
 	Self   member.Box
 	Limits rollout.Limits
-	// Rollouts are those that are believed, and Changed gives what is closed when
-	// anything that is believed changes.
+	// Rollouts returns the known state of the rollouts, and Changed a channel that is
+	// closed when any known state changes.
 	Rollouts func() []catalog.Rollout
 	Changed  func() <-chan struct{}
-	// Age is how long ago what is believed was confirmed.
+	// Age is the time since the known state was confirmed.
 	Age func() time.Duration
-	// Reads says whether this gateway's own watches of the store are in order, and
-	// Leaving whether it stops.
+	// Reads reports whether this gateway's own watches of the store work, and Leaving
+	// whether the gateway is stopping.
 	Reads   func() bool
 	Leaving func() bool
-	// Peers lists the ids of the gateways that are known to be there, this one among them.
+	// Peers lists the ids of the gateways that are known to be running, including this one.
 	Peers func() []string
-	// Standing is how the targets of a service stand to a rollout.
+	// Standing returns the versions and the numbers of a service's targets with respect to
+	// a rollout.
 	Standing func(r catalog.Rollout) discovery.Standing
-	// Decide says what is to be done of a rollout; nil means rollout.Decide.
+	// Decide returns what to do with a rollout; nil means rollout.Decide.
 	Decide func(s rollout.State) rollout.Decision
-	// Reports gives this process's own counts for each of the rollouts, which are all that
-	// are under way; what was counted for others is dropped.
+	// Reports returns this process's own counts for each of the given rollouts, which are
+	// all active ones; the counts for others are dropped.
 	Reports func(rollouts []catalog.Rollout) []rollout.Report
 	// Record is discovery.Source.RecordRollout.
 	Record func(ctx context.Context, r catalog.Rollout) (discovery.Record, error)
@@ -93,21 +95,21 @@
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Delivery is a gateway's part in rollouts.
+// Delivery decides on rollouts and reports to the gateway that does.
 type Delivery struct {
-	options Options
-	writes  *rate.Limiter
-	peer    *rpclink.Link // to the gateway that decides; the duty of reporting uses it
+	options      Options
+	writeLimiter *rate.Limiter
+	peer         *rpclink.Link // to the decider; used by the reporting loop
 
 	mu      sync.Mutex
-	courses map[string]*course // by service
+	tracked map[string]*trackedRollout // by service
 	ages    *rollout.Ages
-	// confirmed is when all that was believed at the latest look had been confirmed;
-	// zero for never.
+	// confirmed is the latest moment at which the state seen by the latest refresh was
+	// confirmed; zero for never.
 	confirmed time.Time
 }
 
-// New makes one that knows of no rollout.
+// New returns a Delivery that knows of no rollout.
 func New(o Options) *Delivery {
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -122,60 +124,61 @@
 		o.Dial = (&net.Dialer{}).DialContext
 	}
 	return &Delivery{
-		options: o, writes: rate.NewLimiter(rate.Every(writeEvery), writesAtOnce), peer: rpclink.New(o.Dial, answerWithin),
-		courses: map[string]*course{}, ages: rollout.NewAges(),
+		options: o, writeLimiter: rate.NewLimiter(rate.Every(writeInterval), writeBurst), peer: rpclink.New(o.Dial, reportTimeout),
+		tracked: map[string]*trackedRollout{}, ages: rollout.NewAges(),
 	}
 }
 
-// Duties are what a gateway does for rollouts, each until its context ends.
-func (d *Delivery) Duties() []func(context.Context) error {
+// Tasks returns the loops that must run, each until its context ends.
+func (d *Delivery) Tasks() []func(context.Context) error {
 	return []func(context.Context) error{d.decide, d.report}
 }
 
-// look takes in what is believed of the rollouts; all gateways do, so that whoever decides
-// next knows since when. It says whether any is under way.
-func (d *Delivery) look(now time.Time) (underWay bool) {
-	age := d.options.Age() // first: what is believed next is at least as young
-	believed := d.options.Rollouts()
+// refresh updates the tracked rollouts by the known state, and reports whether any is
+// active. All gateways do this, so that the next decider knows when an order was first
+// seen.
+func (d *Delivery) refresh(now time.Time) (active bool) {
+	age := d.options.Age() // read first: the state that is read next is at least as recent
+	known := d.options.Rollouts()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	there := make(map[string]bool, len(believed))
-	for _, r := range believed {
-		there[r.Service] = true
-		d.follow(now, r)
-		underWay = underWay || !d.courses[r.Service].order.State.Final()
+	present := make(map[string]bool, len(known))
+	for _, r := range known {
+		present[r.Service] = true
+		d.track(now, r)
+		active = active || !d.tracked[r.Service].order.State.Final()
 	}
-	for service, c := range d.courses {
-		if !there[service] {
-			delete(d.courses, service)
+	for service, c := range d.tracked {
+		if !present[service] {
+			delete(d.tracked, service)
 			d.ages.Forget(service)
-			d.logGone(c)
+			d.logDeleted(c)
 		}
 	}
 	if confirmed := now.Add(-age); confirmed.After(d.confirmed) {
 		d.confirmed = confirmed
 	}
-	return underWay
+	return active
 }
 
-// follow takes in a rollout as it is believed; the lock is held.
-func (d *Delivery) follow(now time.Time, r catalog.Rollout) {
-	c, known := d.courses[r.Service]
+// track updates a tracked rollout by its known state; the lock is held.
+func (d *Delivery) track(now time.Time, r catalog.Rollout) {
+	c, known := d.tracked[r.Service]
 	switch {
 	case !known || c.isReplacedBy(r):
 		d.ages.Forget(r.Service)
-		d.courses[r.Service] = newCourse(now, r)
+		d.tracked[r.Service] = newTrackedRollout(now, r)
 	case r.Revision > c.order.Revision:
-		c.take(now, r)
+		c.update(now, r)
 	}
-	d.ages.Observe(now, d.courses[r.Service].order, d.confirmed)
+	d.ages.Observe(now, d.tracked[r.Service].order, d.confirmed)
 }
 
-// wait waits until it is time for the next look; false if ctx ended first.
-func (d *Delivery) wait(ctx context.Context, underWay bool, changed <-chan struct{}) bool {
-	pause := idleEvery
-	if underWay {
-		pause = lookEvery
+// wait waits until the next refresh is due; false if ctx ended first.
+func (d *Delivery) wait(ctx context.Context, active bool, changed <-chan struct{}) bool {
+	pause := idleInterval
+	if active {
+		pause = activeInterval
 	}
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/gateway/delivery/due.go
+++ b/internal/gateway/delivery/due.go
@@ -8,65 +8,67 @@
 )
 
 const (
-	// reportEvery is the least time between two reports of a gateway on a rollout.
-	// A small part of the seconds within which a bad version must be stopped.
-	reportEvery = 250 * time.Millisecond
-	// reportsASecond bounds what the gateway that decides is sent: where the fleet is
-	// large, reportEvery grows. Each costs it some tens of microseconds.
-	reportsASecond = 800
-	// urgentPart is how many times sooner a report of a bad answer, or of a stage, is sent.
-	urgentPart = 5
-	// aliveEvery is how often a gateway reports though there is nothing new: so that it
-	// counts as being there, and learns whether the one that decides is.
-	aliveEvery = time.Second
-	// silentReports is how many reports of a gateway may be missing before it no longer
-	// counts as being there.
-	silentReports = 3
+	// reportInterval is the shortest time between two reports of a gateway on a rollout. A
+	// small part of the seconds within which a bad version must be stopped.
+	reportInterval = 250 * time.Millisecond
+	// maxReportsPerSecond bounds the reports that the decider receives: in a large fleet,
+	// the interval exceeds reportInterval. Each report costs the decider some tens of
+	// microseconds.
+	maxReportsPerSecond = 800
+	// urgentSpeedup divides the interval for a report of a bad response, or of a new stage.
+	urgentSpeedup = 5
+	// keepaliveInterval is how often a gateway reports without anything new, so that it
+	// counts as running, and learns whether the decider is.
+	keepaliveInterval = time.Second
+	// maxMissedReports is how many reports of a gateway may be missing before it no longer
+	// counts as running.
+	maxMissedReports = 3
 )
 
-// interval is the least time between two reports of a gateway, by how many gateways report.
-// The one that decides says it: others know the size of a large fleet only roughly.
-func interval(reporting int) time.Duration {
-	return max(reportEvery, time.Duration(reporting)*time.Second/reportsASecond)
+// intervalFor returns the shortest time between two reports of a gateway, by the number of
+// gateways that report. The decider sends it to the others, since these know the size of a
+// large fleet only roughly.
+func intervalFor(reporting int) time.Duration {
+	return max(reportInterval, time.Duration(reporting)*time.Second/maxReportsPerSecond)
 }
 
-// inTouchFor is how long after its latest report a gateway counts as being there, by how
-// many gateways report.
-func inTouchFor(reporting int) time.Duration {
-	return silentReports * max(aliveEvery, interval(reporting))
+// reachableWindow returns for how long after its latest report a gateway counts as running,
+// by the number of gateways that report.
+func reachableWindow(reporting int) time.Duration {
+	return maxMissedReports * max(keepaliveInterval, intervalFor(reporting))
 }
 
-// sent is what was last reported of a rollout.
+// sent is the latest report on a rollout.
 type sent struct {
 	to     decider
 	at     time.Time
 	report rollout.Report
 }
 
-// isDue says whether a report is to be sent to a gateway now.
+// isDue reports whether a report must be sent to a gateway now.
 func (s sent) isDue(now time.Time, to decider, r rollout.Report, interval time.Duration) bool {
 	since := now.Sub(s.at)
 	switch {
 	case s.to != to || s.report.Version != r.Version:
 		return true
 	case s.isUrgent(r):
-		return since >= interval/urgentPart
+		return since >= interval/urgentSpeedup
 	case !reflect.DeepEqual(s.report, r):
 		return since >= interval
 	default:
-		return since >= max(aliveEvery, interval)
+		return since >= max(keepaliveInterval, interval)
 	}
 }
 
-// isUrgent says whether a report says something that is waited for: a bad answer, a stage,
-// or that nothing is under way to the baseline any more.
+// isUrgent reports whether a report contains something that the decider waits for: a bad
+// response, a stage, or that no send to the baseline is in flight any more.
 func (s sent) isUrgent(r rollout.Report) bool {
 	emptied := r.BaselineActive == 0 && s.report.BaselineActive > 0 && r.Permille == rollout.FullShare
-	return emptied || s.report.Permille != r.Permille || bad(r) > bad(s.report)
+	return emptied || s.report.Permille != r.Permille || badResponses(r) > badResponses(s.report)
 }
 
-// bad counts the bad answers of the version on trial.
-func bad(r rollout.Report) (sum uint64) {
+// badResponses counts the bad responses of the version on trial.
+func badResponses(r rollout.Report) (sum uint64) {
 	for _, c := range r.Counts {
 		if c.Canary {
 			sum += c.Counts.Failed + c.Counts.Slow
--- a/internal/gateway/delivery/failure_test.go
+++ b/internal/gateway/delivery/failure_test.go
@@ -11,199 +11,200 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// faults are what may happen to the fleet and to the store at any stage of a rollout. The
-// first gateway reads the store then.
-var faults = map[string]func(w *world){
-	"nothing":               func(*world) {},
-	"the decider is killed": func(w *world) { w.all()[0].kill() },
-	"the decider is killed before its next write is sent": func(w *world) {
+// faults are the faults that may occur in the fleet and in the store at any stage of a
+// rollout, at a time when the first gateway reads the store.
+var faults = map[string]func(w *fleetSimulation){
+	"no fault":       func(*fleetSimulation) {},
+	"decider killed": func(w *fleetSimulation) { w.all()[0].kill() },
+	"decider killed before its next write is sent": func(w *fleetSimulation) {
 		w.onNextWrite(func(g *gateway, _ catalog.Rollout) error {
 			g.kill()
-			return errAway
+			return errUnavailable
 		})
 	},
-	"the decider is killed once its next write is done": func(w *world) {
+	"decider killed after its next write is done": func(w *fleetSimulation) {
 		var once sync.Once
-		w.setFate(nil, func(g *gateway) (err error) {
+		w.setWriteHooks(nil, func(g *gateway) (err error) {
 			once.Do(func() {
 				g.kill()
-				err = errAway
+				err = errUnavailable
 			})
 			return err
 		})
 	},
-	"the decider is killed, its next write done late": func(w *world) {
+	"decider killed, its next write done late": func(w *fleetSimulation) {
 		w.onNextWrite(func(g *gateway, r catalog.Rollout) error {
-			w.lateWrite(r, 2*time.Second)
+			w.writeLater(r, 2*time.Second)
 			g.kill()
-			return errAway
+			return errUnavailable
 		})
 	},
-	"the decider freezes": func(w *world) {
+	"decider freezes": func(w *fleetSimulation) {
 		decider := w.all()[0]
 		decider.freeze()
-		time.AfterFunc(3*time.Second, decider.wake)
+		time.AfterFunc(3*time.Second, decider.unfreeze)
 	},
-	"the decider freezes in its next write": func(w *world) {
+	"decider freezes during its next write": func(w *fleetSimulation) {
 		w.onNextWrite(func(g *gateway, _ catalog.Rollout) error {
 			g.freeze()
-			time.AfterFunc(3*time.Second, g.wake)
+			time.AfterFunc(3*time.Second, g.unfreeze)
 			return nil
 		})
 	},
-	"the decider is cut from the store": func(w *world) {
+	"decider cut off from the store": func(w *fleetSimulation) {
 		decider := w.all()[0]
-		decider.cutOff(true)
-		time.AfterFunc(3*time.Second, func() { decider.cutOff(false) })
+		decider.setStoreCut(true)
+		time.AfterFunc(3*time.Second, func() { decider.setStoreCut(false) })
 	},
-	"the decider is cut from all others":  func(w *world) { w.cutFor(4*time.Second, 1) },
-	"the decider is cut from half of all": func(w *world) { w.cutFor(4*time.Second, 3) },
-	"the decider is stopped as planned": func(w *world) {
+	"decider partitioned from all others":        func(w *fleetSimulation) { w.partitionFor(4*time.Second, 1) },
+	"decider partitioned from half of the fleet": func(w *fleetSimulation) { w.partitionFor(4*time.Second, 3) },
+	"decider stopped gracefully": func(w *fleetSimulation) {
 		decider := w.all()[0]
 		decider.leaving.Store(true)
 		time.AfterFunc(3*time.Second, decider.kill)
 	},
-	"two believe that they decide": func(w *world) { w.all()[3].insists.Store(true) },
-	"all believe that they decide": func(w *world) {
+	"two deciders": func(w *fleetSimulation) { w.all()[3].alwaysReads.Store(true) },
+	"all gateways are deciders": func(w *fleetSimulation) {
 		for _, g := range w.all() {
-			g.insists.Store(true)
+			g.alwaysReads.Store(true)
 		}
 	},
-	"the store is away": func(w *world) { w.awayFor(2500*time.Millisecond, w.all()) },
-	"the store turns some away, the decider among them": func(w *world) {
-		w.awayFor(time.Hour, w.all()[:2])
+	"store unavailable": func(w *fleetSimulation) { w.cutStoreFor(2500*time.Millisecond, w.all()) },
+	"store unavailable to some, including the decider": func(w *fleetSimulation) {
+		w.cutStoreFor(time.Hour, w.all()[:2])
 	},
-	"the store is slow": func(w *world) {
-		w.setFate(func(*gateway, catalog.Rollout) error {
+	"store slow": func(w *fleetSimulation) {
+		w.setWriteHooks(func(*gateway, catalog.Rollout) error {
 			time.Sleep(700 * time.Millisecond)
 			return nil
 		}, nil)
 	},
-	"the store loses answers": func(w *world) {
-		w.setFate(nil, func(*gateway) error { return errAway })
-		time.AfterFunc(3*time.Second, func() { w.setFate(nil, nil) })
+	"store loses responses": func(w *fleetSimulation) {
+		w.setWriteHooks(nil, func(*gateway) error { return errUnavailable })
+		time.AfterFunc(3*time.Second, func() { w.setWriteHooks(nil, nil) })
 	},
-	"the store does writes late and says nothing": func(w *world) {
-		w.setFate(func(_ *gateway, r catalog.Rollout) error {
-			w.lateWrite(r, 2*time.Second)
-			time.Sleep(time.Second) // for which a call is waited for
-			return errAway
+	"store writes late without a response": func(w *fleetSimulation) {
+		w.setWriteHooks(func(_ *gateway, r catalog.Rollout) error {
+			w.writeLater(r, 2*time.Second)
+			time.Sleep(time.Second) // the timeout of the call
+			return errUnavailable
 		}, nil)
-		time.AfterFunc(4*time.Second, func() { w.setFate(nil, nil) })
+		time.AfterFunc(4*time.Second, func() { w.setWriteHooks(nil, nil) })
 	},
-	"the store turns writes away": func(w *world) {
-		w.setFate(func(*gateway, catalog.Rollout) error { return errTurnedAway }, nil)
-		time.AfterFunc(2*time.Second, func() { w.setFate(nil, nil) })
+	"store rejects writes": func(w *fleetSimulation) {
+		w.setWriteHooks(func(*gateway, catalog.Rollout) error { return errRejected }, nil)
+		time.AfterFunc(2*time.Second, func() { w.setWriteHooks(nil, nil) })
 	},
-	"all are killed": func(w *world) {
+	"all killed": func(w *fleetSimulation) {
 		for _, g := range w.all() {
 			g.kill()
 		}
-		time.AfterFunc(time.Second, func() { w.startAgain(0) })
+		time.AfterFunc(time.Second, func() { w.restartFrom(0) })
 	},
-	"all are killed with a write under way that is done late": func(w *world) {
+	"all killed with a write in flight that is done late": func(w *fleetSimulation) {
 		w.onNextWrite(func(_ *gateway, r catalog.Rollout) error {
-			w.lateWrite(r, 1200*time.Millisecond)
+			w.writeLater(r, 1200*time.Millisecond)
 			for _, g := range w.all() {
 				g.kill()
 			}
-			time.AfterFunc(time.Second, func() { w.startAgain(0) })
-			return errAway
+			time.AfterFunc(time.Second, func() { w.restartFrom(0) })
+			return errUnavailable
 		})
 	},
-	"others begin anew": func(w *world) {
+	"other gateways restart": func(w *fleetSimulation) {
 		for _, g := range w.all()[2:] {
 			g.kill()
 		}
-		w.startAgain(2)
+		w.restartFrom(2)
 	},
 }
 
-// onNextWrite does something once, when a write is about to be sent.
-func (w *world) onNextWrite(do func(g *gateway, r catalog.Rollout) error) {
+// onNextWrite runs a function once, before the next write is sent.
+func (w *fleetSimulation) onNextWrite(do func(g *gateway, r catalog.Rollout) error) {
 	var once sync.Once
-	w.setFate(func(g *gateway, r catalog.Rollout) (err error) {
+	w.setWriteHooks(func(g *gateway, r catalog.Rollout) (err error) {
 		once.Do(func() { err = do(g, r) })
 		return err
 	}, nil)
 }
 
-// cutFor cuts the first gateways from all others for a time; all reach the store.
-func (w *world) cutFor(d time.Duration, first int) {
+// partitionFor separates the first gateways from all others for a time; all reach the
+// store.
+func (w *fleetSimulation) partitionFor(d time.Duration, first int) {
 	inside := map[string]bool{}
 	for _, g := range w.all()[:first] {
 		inside[g.self.ID] = true
 	}
-	w.setApart(func(a, b *gateway) bool { return inside[a.self.ID] != inside[b.self.ID] })
-	time.AfterFunc(d, func() { w.setApart(func(a, b *gateway) bool { return false }) })
+	w.setPartition(func(a, b *gateway) bool { return inside[a.self.ID] != inside[b.self.ID] })
+	time.AfterFunc(d, func() { w.setPartition(func(a, b *gateway) bool { return false }) })
 }
 
-// awayFor takes the store from some gateways for a time.
-func (w *world) awayFor(d time.Duration, some []*gateway) {
+// cutStoreFor makes the store unreachable for some gateways for a time.
+func (w *fleetSimulation) cutStoreFor(d time.Duration, some []*gateway) {
 	for _, g := range some {
-		g.cutOff(true)
-		time.AfterFunc(d, func() { g.cutOff(false) })
+		g.setStoreCut(true)
+		time.AfterFunc(d, func() { g.setStoreCut(false) })
 	}
 }
 
-// startAgain starts the gateways from one on anew.
-func (w *world) startAgain(from int) {
+// restartFrom restarts the gateways from the given index on.
+func (w *fleetSimulation) restartFrom(from int) {
 	for _, g := range w.all()[from:] {
 		w.start(g.self.ID)
 	}
 }
 
-// stages are the moments at which a fault strikes.
-var stages = map[string]func(w *world){
-	"at the order":      func(*world) {},
-	"at the first":      func(w *world) { w.reaches("shop", 50) },
-	"between stages":    func(w *world) { w.reaches("shop", 50); time.Sleep(500 * time.Millisecond) },
-	"before the second": func(w *world) { w.reaches("shop", 50); time.Sleep(950 * time.Millisecond) },
-	"at the last":       func(w *world) { w.reaches("shop", 1000) },
+// stages are the moments at which a fault occurs.
+var stages = map[string]func(w *fleetSimulation){
+	"at the order":            func(*fleetSimulation) {},
+	"at the first stage":      func(w *fleetSimulation) { w.waitForStage("shop", 50) },
+	"between stages":          func(w *fleetSimulation) { w.waitForStage("shop", 50); time.Sleep(500 * time.Millisecond) },
+	"before the second stage": func(w *fleetSimulation) { w.waitForStage("shop", 50); time.Sleep(950 * time.Millisecond) },
+	"at the last stage":       func(w *fleetSimulation) { w.waitForStage("shop", 1000) },
 }
 
-// isOfUnknownAge says whether nobody is left who knows when an order came, of which
-// nothing was recorded: its time may be over.
-func isOfUnknownAge(when, fault string) bool {
-	return when == "at the order" && strings.HasPrefix(fault, "all are killed")
+// isAgeUnknown reports whether no gateway is left that knows when an order was made for
+// which nothing was recorded. Its time may be over.
+func isAgeUnknown(when, fault string) bool {
+	return when == "at the order" && strings.HasPrefix(fault, "all killed")
 }
 
-func TestWhateverFailsAGoodVersionIsCompleted(t *testing.T) {
+func TestGoodVersionIsCompletedUnderEveryFault(t *testing.T) {
 	for when, reached := range stages {
 		for name, fault := range faults {
 			t.Run(when+", "+name, func(t *testing.T) {
-				play(t, 5, func(g *WithT, w *world) {
+				simulate(t, 5, func(g *WithT, w *fleetSimulation) {
 					w.order("shop", "v2", within)
 					reached(w)
 					fault(w)
-					state, _ := w.ends("shop", within)
-					if isOfUnknownAge(when, name) {
+					state, _ := w.waitForEnd("shop", within)
+					if isAgeUnknown(when, name) {
 						g.Expect(state).To(Equal(catalog.RolloutRolledBack))
 					} else {
 						g.Expect(state).To(Equal(catalog.RolloutCompleted))
 					}
-					time.Sleep(4 * time.Second) // for what is late
-					g.Expect(w.calls.Load()).To(BeNumerically("<", mostCalls))
+					time.Sleep(4 * time.Second) // for late writes
+					g.Expect(w.writeAttempts.Load()).To(BeNumerically("<", maxWriteAttempts))
 				})
 			})
 		}
 	}
 }
 
-func TestWhateverFailsABadVersionIsRolledBack(t *testing.T) {
+func TestBadVersionIsRolledBackUnderEveryFault(t *testing.T) {
 	for when, reached := range stages {
 		for name, fault := range faults {
 			t.Run(when+", "+name, func(t *testing.T) {
-				play(t, 5, func(g *WithT, w *world) {
+				simulate(t, 5, func(g *WithT, w *fleetSimulation) {
 					w.order("shop", "v2", within)
 					reached(w)
-					w.bad.Store(true)
+					w.canaryFails.Store(true)
 					fault(w)
-					state, took := w.ends("shop", within)
-					t.Logf("after %v, %d calls", took, w.calls.Load())
+					state, took := w.waitForEnd("shop", within)
+					t.Logf("after %v, %d calls", took, w.writeAttempts.Load())
 					g.Expect(state).To(Equal(catalog.RolloutRolledBack))
 					time.Sleep(4 * time.Second)
-					g.Expect(w.calls.Load()).To(BeNumerically("<", mostCalls))
+					g.Expect(w.writeAttempts.Load()).To(BeNumerically("<", maxWriteAttempts))
 				})
 			})
 		}
--- a/internal/gateway/delivery/log.go
+++ b/internal/gateway/delivery/log.go
@@ -5,36 +5,36 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// logGone writes that an order is no longer there.
-func (d *Delivery) logGone(c *course) {
+// logDeleted logs that an order no longer exists.
+func (d *Delivery) logDeleted(c *trackedRollout) {
 	d.options.Log.Info("rollout gone", "service", c.order.Service, "version", c.order.Version, "state", c.order.State.String())
 }
 
-// logWrite writes how a write ended and, where it was done, what it was decided by.
+// logWrite logs how a write ended, and the evidence for its decision.
 func (d *Delivery) logWrite(w write, record discovery.Record, err error) {
 	r := w.rollout
 	common := []any{"service", r.Service, "version", r.Version, "state", r.State.String(), "permille", r.Permille, "age_s", r.Elapsed.Seconds()}
 	switch {
 	case record.End != discovery.RecordDone:
-		// It may still be done: what it was decided by must not be missing then.
+		// The write may still be done, in which case the evidence must be in the log.
 		end := append(common, "end", endName(record.End), "revision", r.Revision, "error", errorText(err))
-		d.options.Log.Info("rollout not recorded", append(end, evidence(w.decision)...)...)
+		d.options.Log.Info("rollout not recorded", append(end, evidenceAttrs(w.decision)...)...)
 	case w.isTakeover():
 		d.options.Log.Info("rollout taken over", append(common, "from", w.before.Decider)...)
 	default:
-		d.options.Log.Info("rollout recorded", append(common, evidence(w.decision)...)...)
+		d.options.Log.Info("rollout recorded", append(common, evidenceAttrs(w.decision)...)...)
 	}
 }
 
-// evidence is what a decision went by.
-func evidence(d rollout.Decision) []any {
+// evidenceAttrs returns the log attributes of the evidence for a decision.
+func evidenceAttrs(d rollout.Decision) []any {
 	return []any{
 		"reason", d.Reason.String(), "route", d.Route, "statistic", d.Statistic, "threshold", d.Threshold,
 		"canary", counts(d.Pair.Canary), "baseline", counts(d.Pair.Baseline),
 	}
 }
 
-// counted are counts as a log line has them.
+// counted are counts as they appear in a log line.
 type counted struct {
 	Sends  uint64 `json:"sends"`
 	Failed uint64 `json:"failed"`
--- a/internal/gateway/delivery/protocol.go
+++ b/internal/gateway/delivery/protocol.go
@@ -7,25 +7,25 @@
 )
 
 // Gateways call each other by net/rpc. The names of the service, its method and the fields
-// of its messages stay, since processes of two versions talk during a roll; one of an
-// earlier version answers that it has no such service.
+// of its messages must not change, since processes of two versions talk to each other
+// during an upgrade; one of an earlier version answers that it has no such service.
 const (
 	serviceName  = "Delivery"
 	methodReport = serviceName + ".Report"
 )
 
-// ReportArgs are a gateway's reports to the one that decides.
+// ReportArgs are a gateway's reports to the decider.
 type ReportArgs struct {
-	// Decider is the id of the gateway that is named to decide: another may have its
-	// address by now.
+	// Decider is the id of the decider: another gateway may have its address by now.
 	Decider string
 	Reports []rollout.Report
 }
 
-// ReportReply answers reports.
+// ReportReply is the reply to reports.
 type ReportReply struct {
-	// Decides says that the answering gateway is the one that is named, and decides.
+	// Decides says that the replying gateway is the named decider, and decides.
 	Decides bool
-	// Every is the least time between two reports, by how many gateways report.
+	// Every is the shortest time between two reports, by the number of gateways that
+	// report.
 	Every time.Duration
 }
--- a/internal/gateway/delivery/record.go
+++ b/internal/gateway/delivery/record.go
@@ -10,81 +10,81 @@
 )
 
 const (
-	// writeEvery and writesAtOnce bound this gateway's writes: so many at once, then one
-	// each writeEvery, whatever is ordered: far below what stores take, far above
-	// the six or so of a rollout.
-	writeEvery   = 50 * time.Millisecond
-	writesAtOnce = 20
-	// firstRetry is the pause after a write that was not done, or after a write or a report
-	// that was not answered. It doubles with each failure, up to longestRetry.
-	firstRetry   = 100 * time.Millisecond
-	longestRetry = time.Second
-	// settleWithin is how long it may take until the change that a write made is seen, where
-	// the write's answer did not hold it.
-	settleWithin = time.Second
+	// writeInterval and writeBurst limit the rate of this gateway's writes: a burst, then
+	// one each writeInterval, whatever is ordered: far below what stores can handle, far
+	// above the six or so writes of a rollout.
+	writeInterval = 50 * time.Millisecond
+	writeBurst    = 20
+	// minRetryDelay is the delay after a write that was not done, or after a write or a
+	// report that was not answered. It doubles with each failure, up to maxRetryDelay.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// settleTimeout bounds how long it may take until the change that a write made is seen,
+	// where the response to the write did not contain it.
+	settleTimeout = time.Second
 )
 
 // write is one write of a rollout.
 type write struct {
 	before  catalog.Rollout
 	rollout catalog.Rollout
-	// decision is why; that of one that only takes over has no verb.
+	// decision is the reason for the write; that of a takeover has the action Wait.
 	decision rollout.Decision
 }
 
-// writes are those at the latest revision of a rollout's object, on whose condition the
-// store does one of them at most.
+// writes are those conditional on the latest revision of a rollout's object, of which the
+// store does at most one.
 type writes struct {
-	// underWay counts those that have not ended, by the state that they record.
-	underWay map[catalog.RolloutState]int
-	// failed counts those that were not done, or not answered, and next is when another
-	// may begin.
-	failed int
-	next   time.Time
+	// inFlight counts those that have not ended, by the state that they record.
+	inFlight map[catalog.RolloutState]int
+	// failed counts those that were not done, or not answered, and notBefore is when
+	// another may begin.
+	failed    int
+	notBefore time.Time
 }
 
-// mayBegin says whether a write may begin: one at a time, but that a roll-back waits for
-// no other.
+// mayBegin reports whether a write may begin: one at a time, except that a roll-back does
+// not wait for other writes.
 func (ws *writes) mayBegin(now time.Time, state catalog.RolloutState) bool {
-	if now.Before(ws.next) {
+	if now.Before(ws.notBefore) {
 		return false
 	}
 	if state == catalog.RolloutRolledBack {
-		return ws.underWay[state] == 0
+		return ws.inFlight[state] == 0
 	}
-	return len(ws.underWay) == 0
+	return len(ws.inFlight) == 0
 }
 
 func (ws *writes) begin(now time.Time, state catalog.RolloutState) {
-	if ws.underWay == nil {
-		ws.underWay = map[catalog.RolloutState]int{}
+	if ws.inFlight == nil {
+		ws.inFlight = map[catalog.RolloutState]int{}
 	}
-	ws.underWay[state]++
+	ws.inFlight[state]++
 }
 
-// end notes that a write ended; pause is how long no other begins at this revision.
+// end records that a write ended; pause is how long no other begins at this revision.
 func (ws *writes) end(now time.Time, state catalog.RolloutState, pause time.Duration) {
-	if ws.underWay[state]--; ws.underWay[state] <= 0 {
-		delete(ws.underWay, state)
+	if ws.inFlight[state]--; ws.inFlight[state] <= 0 {
+		delete(ws.inFlight, state)
 	}
-	ws.next = now.Add(pause)
+	ws.notBefore = now.Add(pause)
 }
 
-// retry is the pause after one more failure.
-func (ws *writes) retry() time.Duration {
+// nextRetryDelay counts a failure and returns the delay after it.
+func (ws *writes) nextRetryDelay() time.Duration {
 	ws.failed++
-	return retryPause(ws.failed)
+	return retryDelay(ws.failed)
 }
 
-// maxDoublings bounds how often a pause doubles.
+// maxDoublings bounds how often a delay doubles.
 const maxDoublings = 6
 
-// retryPause is the pause after so many failures in a row.
-func retryPause(failures int) time.Duration {
-	return min(firstRetry<<min(failures-1, maxDoublings), longestRetry)
+// retryDelay returns the delay after a number of failures in a row.
+func retryDelay(failures int) time.Duration {
+	return min(minRetryDelay<<min(failures-1, maxDoublings), maxRetryDelay)
 }
 
-// record makes a write and takes in how it ended.
+// record performs a write and applies its result.
 func (d *Delivery) record(ctx context.Context, w write) {
 	record, err := d.options.Record(ctx, w.rollout)
 	now := d.options.Clock()
@@ -92,32 +92,32 @@
 	defer d.mu.Unlock()
 	d.options.Metrics.RolloutWrite(endName(record.End))
 	d.logWrite(w, record, err)
-	c, ok := d.courses[w.rollout.Service]
+	c, ok := d.tracked[w.rollout.Service]
 	if !ok || c.order.Version != w.rollout.Version {
-		return // it is another order by now
+		return // the order was replaced
 	}
 	if record.End == discovery.RecordDone && w.isTakeover() {
-		c.takenOver = now
+		c.lastTakeover = now
 		c.takeovers++
 	}
 	if record.Rollout != nil && record.Rollout.Revision > c.order.Revision {
-		d.follow(now, *record.Rollout)
+		d.track(now, *record.Rollout)
 		return
 	}
 	if c.order.Revision != w.rollout.Revision {
-		return // what came of it was seen already
+		return // a later revision was seen already
 	}
-	pause := settleWithin
+	pause := settleTimeout
 	if record.End != discovery.RecordDone {
-		pause = c.writes.retry()
+		pause = c.writes.nextRetryDelay()
 	}
 	c.writes.end(now, w.rollout.State, pause)
 }
 
-// isTakeover says whether a write changes nothing but who decides.
+// isTakeover reports whether a write changes only the decider.
 func (w write) isTakeover() bool { return w.decision.Action == rollout.Wait }
 
-// endName names how a write ended, as log lines and metrics do.
+// endName returns the name of a write's result in log lines and metrics.
 func endName(end discovery.RecordEnd) string {
 	switch end {
 	case discovery.RecordDone:
--- a/internal/gateway/delivery/serve.go
+++ b/internal/gateway/delivery/serve.go
@@ -5,36 +5,39 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// methods are what other gateways may call.
+// methods are the remote methods for other gateways.
 type methods struct{ delivery *Delivery }
 
-// Report takes a gateway's reports.
+// Report receives a gateway's reports.
 func (m *methods) Report(args ReportArgs, reply *ReportReply) error {
-	m.delivery.options.Metrics.RolloutReport(wayReceived, resultAnswered)
-	*reply = m.delivery.answer(args)
+	m.delivery.options.Metrics.RolloutReport(directionReceived, resultAnswered)
+	*reply = m.delivery.handleReports(args)
 	return nil
 }
 
-// Service is what other gateways call, to be served beside what discovery serves.
+// Service returns the net/rpc service for other gateways, to be served beside the one of
+// discovery.
 func (d *Delivery) Service() discovery.Service {
 	return discovery.Service{Name: serviceName, Methods: &methods{delivery: d}}
 }
 
-// answer takes reports in and says whether this gateway is the one that they are for.
-func (d *Delivery) answer(args ReportArgs) ReportReply {
-	reporting := d.take(args.Reports)
-	return ReportReply{Decides: args.Decider == d.options.Self.ID && d.decides(), Every: interval(reporting)}
+// handleReports records reports and replies whether this gateway is the decider that they
+// are for.
+func (d *Delivery) handleReports(args ReportArgs) ReportReply {
+	reporting := d.addReports(args.Reports)
+	return ReportReply{Decides: args.Decider == d.options.Self.ID && d.isDecider(), Every: intervalFor(reporting)}
 }
 
-// take takes reports in and says how many gateways report on these rollouts. Those of an
-// order that is not known here are dropped: all are sent whole again.
-func (d *Delivery) take(reports []rollout.Report) (reporting int) {
+// addReports records reports and returns the number of gateways that report on these
+// rollouts. Reports on an order that is not known here are dropped: each later report
+// contains all counts again.
+func (d *Delivery) addReports(reports []rollout.Report) (reporting int) {
 	now := d.options.Clock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range reports {
-		if c, ok := d.courses[r.Service]; ok && c.order.Version == r.Version {
-			c.note(now, r)
+		if c, ok := d.tracked[r.Service]; ok && c.order.Version == r.Version {
+			c.addReport(now, r)
 			reporting = max(reporting, len(c.reported))
 		}
 	}
--- a/internal/gateway/delivery/simulation_test.go
+++ b/internal/gateway/delivery/simulation_test.go
@@ -20,39 +20,40 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// What becomes of calls to the store: no answer, or one that says that nothing was done.
+// Results of calls to the store: no response, or a response that nothing was done.
 var (
-	errAway       = errors.New("the store is away")
-	errTurnedAway = errors.New("the store turned the call away")
+	errUnavailable = errors.New("store unavailable")
+	errRejected    = errors.New("store rejected the call")
 )
 
-// silentAfter is how long a gateway that fails unseen is still taken for the reader, as
-// in a deployment whose updates must be in force within 2.5 s.
-const silentAfter = 1250 * time.Millisecond
-
-// world is a store and a fleet of gateways in virtual time. Whoever reaches the store
-// hears of a change at once; the first that does, in the order of the fleet, reads it.
-type world struct {
-	mu       sync.Mutex
-	revision uint64
-	objects  map[string]catalog.Rollout
-	done     []catalog.Rollout // every write that was done
-	calls    atomic.Int32      // writes that were tried
-	bad      atomic.Bool       // all sends to the ordered version fail
-	stuck    atomic.Bool       // nothing is decided
-	reports  atomic.Int32      // how many gateways' the latest advance went by
-	woken    chan struct{}
-	// fate is what happens to a write before the store looks at it, and answer what to its
-	// answer; nil is nothing.
-	fate   func(g *gateway, r catalog.Rollout) error
-	answer func(g *gateway) error
-	// apart says whether two gateways can't reach each other.
-	apart func(a, b *gateway) bool
-	fleet []*gateway
-}
-
-func newWorld(size int) *world {
-	w := &world{objects: map[string]catalog.Rollout{}, woken: make(chan struct{}), apart: func(a, b *gateway) bool { return false }}
+// failureDetection is how long a gateway that has failed silently still counts as the
+// reader, as in a deployment whose updates must be in effect within 2.5 s.
+const failureDetection = 1250 * time.Millisecond
+
+// fleetSimulation is a store and a fleet of gateways in virtual time. Every gateway that
+// reaches the store receives a change at once; the first one that does, in the order of the
+// fleet, is the reader.
+type fleetSimulation struct {
+	mu               sync.Mutex
+	revision         uint64
+	objects          map[string]catalog.Rollout
+	written          []catalog.Rollout // every write that was done
+	writeAttempts    atomic.Int32      // writes that were tried
+	canaryFails      atomic.Bool       // all sends to the ordered version fail
+	paused           atomic.Bool       // nothing is decided
+	reportsAtAdvance atomic.Int32      // how many gateways' the latest advance went by
+	changed          chan struct{}
+	// beforeWrite is called before the store handles a write, and afterWrite before its
+	// response is returned; nil for none.
+	beforeWrite func(g *gateway, r catalog.Rollout) error
+	afterWrite  func(g *gateway) error
+	// partitioned reports whether two gateways can't reach each other.
+	partitioned func(a, b *gateway) bool
+	gateways    []*gateway
+}
+
+func newFleetSimulation(size int) *fleetSimulation {
+	w := &fleetSimulation{objects: map[string]catalog.Rollout{}, changed: make(chan struct{}), partitioned: func(a, b *gateway) bool { return false }}
 	for i := range size {
 		w.start("gateway-" + strconv.Itoa(i))
 	}
@@ -60,87 +61,87 @@
 }
 
 // all lists the gateways, in the order in which they read the store.
-func (w *world) all() []*gateway {
+func (w *fleetSimulation) all() []*gateway {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.fleet)
+	return slices.Clone(w.gateways)
 }
 
-// lines keeps log lines for a test to look at.
-type lines struct {
+// logBuffer keeps log lines for a test to examine.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// gateway is one gateway of a world.
+// gateway is one gateway of the simulation.
 type gateway struct {
 	*delivery.Delivery
-	world   *world
-	self    member.Box
-	stop    context.CancelFunc
-	log     *lines
-	leaving atomic.Bool
-	insists atomic.Bool  // reads whoever else does
-	idle    atomic.Bool  // sends nothing
-	earlier atomic.Bool  // of a revision that takes no reports
-	active  atomic.Int32 // sends to the old version under way
-
-	mu     sync.Mutex
-	broken time.Time     // since when it is dead, frozen or without the store; zero if it is not
-	frozen chan struct{} // closed when it wakes; nil while it is awake
-	dead   bool
-	deaf   bool // without the store
-	late   bool // without news of it
-	heard  []catalog.Rollout
-	conns  []net.Conn
-	// met is when an order was first seen running, and failed are bad answers of its version
-	// that a test adds.
-	met    map[order]time.Time
-	failed map[order]uint64
-	began  time.Time
-}
-
-// order tells orders apart: what was counted for one version says nothing of the next.
-type order struct{ service, version string }
-
-func orderOf(r catalog.Rollout) order { return order{service: r.Service, version: r.Version} }
-
-// start starts a gateway, in the place of one of the same id.
-func (w *world) start(id string) *gateway {
+	world          *fleetSimulation
+	self           member.Box
+	stop           context.CancelFunc
+	log            *logBuffer
+	leaving        atomic.Bool
+	alwaysReads    atomic.Bool  // reads whoever else does
+	idle           atomic.Bool  // sends nothing
+	withoutReports atomic.Bool  // of a revision that takes no reports
+	active         atomic.Int32 // sends to the old version under way
+
+	mu          sync.Mutex
+	failedSince time.Time     // since when it is dead, frozen or without the store; zero if it is not
+	frozen      chan struct{} // closed when it wakes; nil while it is awake
+	dead        bool
+	storeCut    bool // without the store
+	stale       bool // without news of it
+	lastKnown   []catalog.Rollout
+	conns       []net.Conn
+	// firstRunning is when an order was first seen running, and failed counts bad responses
+	// of its version that a test adds.
+	firstRunning map[orderKey]time.Time
+	failed       map[orderKey]uint64
+	began        time.Time
+}
+
+// orderKey identifies an order: the counts for one version don't apply to the next.
+type orderKey struct{ service, version string }
+
+func keyOf(r catalog.Rollout) orderKey { return orderKey{service: r.Service, version: r.Version} }
+
+// start starts a gateway, in place of one with the same id.
+func (w *fleetSimulation) start(id string) *gateway {
 	ctx, stop := context.WithCancel(context.Background())
-	g := &gateway{world: w, stop: stop, log: &lines{}, met: map[order]time.Time{}, failed: map[order]uint64{}, began: time.Now()}
+	g := &gateway{world: w, stop: stop, log: &logBuffer{}, firstRunning: map[orderKey]time.Time{}, failed: map[orderKey]uint64{}, began: time.Now()}
 	g.self = member.Box{ID: id, Peer: id + ":80", Start: uint64(time.Now().UnixNano())}
 	g.Delivery = delivery.New(delivery.Options{
 		Self: g.self, Limits: rollout.Limits{Share: 0.1, Slack: 50, RollBackWithin: 5 * time.Second},
-		Rollouts: g.believed, Changed: g.changed, Age: func() time.Duration { return 0 }, Reads: g.reads, Leaving: g.leaving.Load,
+		Rollouts: g.known, Changed: g.changed, Age: func() time.Duration { return 0 }, Reads: g.reads, Leaving: g.leaving.Load,
 		Peers: g.peers, Standing: standing, Decide: w.decide,
 		Reports: g.reports, Record: g.record, Dial: g.dial, Log: slog.New(slog.NewTextHandler(g.log, nil)),
 		Clock: func() time.Time {
-			g.pass()
+			g.waitWhileFrozen()
 			return time.Now()
 		},
 	})
 	w.mu.Lock()
-	if i := slices.IndexFunc(w.fleet, func(other *gateway) bool { return other.self.ID == id }); i >= 0 {
-		w.fleet[i] = g
+	if i := slices.IndexFunc(w.gateways, func(other *gateway) bool { return other.self.ID == id }); i >= 0 {
+		w.gateways[i] = g
 	} else {
-		w.fleet = append(w.fleet, g)
+		w.gateways = append(w.gateways, g)
 	}
 	w.mu.Unlock()
-	for _, duty := range g.Duties() {
-		go func() { _ = duty(ctx) }()
+	for _, task := range g.Tasks() {
+		go func() { _ = task(ctx) }()
 	}
 	return g
 }
@@ -149,7 +150,7 @@
 	return discovery.Standing{OnTrial: true, Baseline: 3, Canary: 3, Warm: 3}
 }
 
-// decideByCounts goes from stage to stage each second, once all report the stage, and
+// decideByCounts advances the stage each second, once all gateways report the stage, and
 // rolls back at the third failure, or at the deadline.
 func decideByCounts(s rollout.State) rollout.Decision {
 	stages := []int{50, 300, 1000}
@@ -171,19 +172,19 @@
 	return rollout.Decision{Action: rollout.Advance, Permille: stages[next], Reason: rollout.ReasonHealthy}
 }
 
-func (w *world) decide(s rollout.State) rollout.Decision {
-	if w.stuck.Load() {
+func (w *fleetSimulation) decide(s rollout.State) rollout.Decision {
+	if w.paused.Load() {
 		return rollout.Decision{}
 	}
 	decision := decideByCounts(s)
 	if decision.Action == rollout.Advance {
-		w.reports.Store(int32(s.Evidence.Reports))
+		w.reportsAtAdvance.Store(int32(s.Evidence.Reports))
 	}
 	return decision
 }
 
-// pass waits while the gateway is frozen.
-func (g *gateway) pass() {
+// waitWhileFrozen blocks while the gateway is frozen.
+func (g *gateway) waitWhileFrozen() {
 	g.mu.Lock()
 	frozen := g.frozen
 	g.mu.Unlock()
@@ -195,81 +196,81 @@
 func (g *gateway) freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.frozen, g.broken = make(chan struct{}), time.Now()
+	g.frozen, g.failedSince = make(chan struct{}), time.Now()
 }
 
-func (g *gateway) wake() {
+func (g *gateway) unfreeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	close(g.frozen)
-	g.frozen, g.broken = nil, time.Time{}
+	g.frozen, g.failedSince = nil, time.Time{}
 }
 
-// kill ends the gateway as a killed process ends.
+// kill stops the gateway as a killed process would stop.
 func (g *gateway) kill() {
 	g.stop()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dead, g.broken = true, time.Now()
+	g.dead, g.failedSince = true, time.Now()
 	for _, conn := range g.conns {
 		_ = conn.Close()
 	}
 }
 
-// cutOff takes the store from a gateway, or gives it back.
-func (g *gateway) cutOff(deaf bool) {
-	heard := g.believed()
+// setStoreCut makes the store unreachable for a gateway, or reachable again.
+func (g *gateway) setStoreCut(deaf bool) {
+	heard := g.known()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.deaf, g.heard, g.broken = deaf, heard, time.Time{}
+	g.storeCut, g.lastKnown, g.failedSince = deaf, heard, time.Time{}
 	if deaf {
-		g.broken = time.Now()
+		g.failedSince = time.Now()
 	}
 }
 
-// hold keeps news from a gateway that goes on reaching the store.
-func (g *gateway) hold() {
-	heard := g.believed()
+// stopUpdates stops the updates from the store to a gateway that can still write to it.
+func (g *gateway) stopUpdates() {
+	heard := g.known()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.late, g.heard = true, heard
+	g.stale, g.lastKnown = true, heard
 }
 
-// usable says whether others take the gateway for one that reads if it ranks first.
-func (g *gateway) usable() bool {
+// seemsAlive reports whether others take the gateway for the reader if it ranks first.
+func (g *gateway) seemsAlive() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.leaving.Load() && (g.broken.IsZero() || time.Since(g.broken) < silentAfter)
+	return !g.leaving.Load() && (g.failedSince.IsZero() || time.Since(g.failedSince) < failureDetection)
 }
 
 func (g *gateway) reads() bool {
-	g.pass()
+	g.waitWhileFrozen()
 	g.mu.Lock()
-	deaf := g.deaf
+	deaf := g.storeCut
 	g.mu.Unlock()
 	for _, other := range g.world.all() {
-		if other == g || g.insists.Load() {
+		if other == g || g.alwaysReads.Load() {
 			break
 		}
-		if other.usable() && !g.world.isApart(g, other) {
+		if other.seemsAlive() && !g.world.isPartitioned(g, other) {
 			return false
 		}
 	}
 	return !deaf
 }
 
-// believed are the rollouts as the store has them, or had them when it was last reached.
-func (g *gateway) believed() []catalog.Rollout {
-	g.pass()
+// known returns the rollouts as the store has them, or had them when it was last reached.
+func (g *gateway) known() []catalog.Rollout {
+	g.waitWhileFrozen()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.deaf || g.late {
-		return g.heard
+	if g.storeCut || g.stale {
+		return g.lastKnown
 	}
 	return g.world.list()
 }
 
-func (w *world) list() []catalog.Rollout {
+func (w *fleetSimulation) list() []catalog.Rollout {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []catalog.Rollout
@@ -282,40 +283,40 @@
 func (g *gateway) changed() <-chan struct{} {
 	g.world.mu.Lock()
 	defer g.world.mu.Unlock()
-	return g.world.woken
+	return g.world.changed
 }
 
 func (g *gateway) peers() []string {
 	var out []string
 	for _, other := range g.world.all() {
-		if other.usable() {
+		if other.seemsAlive() {
 			out = append(out, other.self.ID)
 		}
 	}
 	return out
 }
 
-// sendEvery is the pause between two sends of a gateway to each version.
+// sendEvery is the interval of a gateway's sends to each version.
 const sendEvery = 300 * time.Millisecond
 
-// reports counts the sends to both versions since the rollout was first seen running; all
-// to a bad one fail.
+// reports returns the sends to both versions since the rollout was first seen running; all
+// sends to a bad version fail.
 func (g *gateway) reports(running []catalog.Rollout) []rollout.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.forget(running)
+	g.dropEnded(running)
 	var out []rollout.Report
 	for _, r := range running {
-		key := orderOf(r)
-		if _, met := g.met[key]; !met {
-			g.met[key] = time.Now()
+		key := keyOf(r)
+		if _, met := g.firstRunning[key]; !met {
+			g.firstRunning[key] = time.Now()
 		}
-		n := uint64(time.Since(g.met[key]) / sendEvery)
+		n := uint64(time.Since(g.firstRunning[key]) / sendEvery)
 		if g.idle.Load() {
 			n = 0
 		}
 		canary := rollout.Counts{Sends: n + g.failed[key], Failed: g.failed[key]}
-		if g.world.bad.Load() {
+		if g.world.canaryFails.Load() {
 			canary.Failed = canary.Sends
 		}
 		out = append(out, rollout.Report{
@@ -328,58 +329,58 @@
 	return out
 }
 
-// forget drops what was counted for rollouts that are no longer under way.
-func (g *gateway) forget(running []catalog.Rollout) {
-	for key := range g.met {
-		if !slices.ContainsFunc(running, func(r catalog.Rollout) bool { return orderOf(r) == key }) {
-			delete(g.met, key)
+// dropEnded drops the counts of rollouts that are no longer running.
+func (g *gateway) dropEnded(running []catalog.Rollout) {
+	for key := range g.firstRunning {
+		if !slices.ContainsFunc(running, func(r catalog.Rollout) bool { return keyOf(r) == key }) {
+			delete(g.firstRunning, key)
 			delete(g.failed, key)
 		}
 	}
 }
 
-// fail counts bad answers of the version that is ordered now.
+// fail counts bad responses of the version that is ordered now.
 func (g *gateway) fail(service string, n uint64) {
-	key := orderOf(g.world.rollout(service))
+	key := keyOf(g.world.rollout(service))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failed[key] += n
 }
 
 // order writes an order as an operator does.
-func (w *world) order(service, version string, within time.Duration) {
+func (w *fleetSimulation) order(service, version string, within time.Duration) {
 	w.put(catalog.Rollout{Service: service, Version: version, Within: within})
 }
 
 // put writes an object at the next revision.
-func (w *world) put(r catalog.Rollout) {
+func (w *fleetSimulation) put(r catalog.Rollout) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.putLocked(r)
 }
 
 // putLocked is put; the lock is held.
-func (w *world) putLocked(r catalog.Rollout) catalog.Rollout {
+func (w *fleetSimulation) putLocked(r catalog.Rollout) catalog.Rollout {
 	w.revision++
 	r.Revision = w.revision
 	w.objects[r.Service] = r
-	close(w.woken)
-	w.woken = make(chan struct{})
+	close(w.changed)
+	w.changed = make(chan struct{})
 	return r
 }
 
 // remove deletes an order.
-func (w *world) remove(service string) {
+func (w *fleetSimulation) remove(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.revision++
 	delete(w.objects, service)
-	close(w.woken)
-	w.woken = make(chan struct{})
+	close(w.changed)
+	w.changed = make(chan struct{})
 }
 
-// write is the store's part of a write.
-func (w *world) write(r catalog.Rollout) (discovery.Record, error) {
+// write performs a conditional write in the store.
+func (w *fleetSimulation) write(r catalog.Rollout) (discovery.Record, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now, ok := w.objects[r.Service]
@@ -387,60 +388,60 @@
 		return discovery.Record{End: discovery.RecordRefused, Rollout: &now}, errors.New("another revision")
 	}
 	r = w.putLocked(r)
-	w.done = append(w.done, r)
+	w.written = append(w.written, r)
 	return discovery.Record{End: discovery.RecordDone, Rollout: &r}, nil
 }
 
-// record is a gateway's write.
+// record performs a gateway's write.
 func (g *gateway) record(ctx context.Context, r catalog.Rollout) (discovery.Record, error) {
 	w := g.world
-	g.pass()
-	w.calls.Add(1)
+	g.waitWhileFrozen()
+	w.writeAttempts.Add(1)
 	time.Sleep(4 * time.Millisecond)
 	g.mu.Lock()
-	deaf := g.deaf
+	deaf := g.storeCut
 	g.mu.Unlock()
 	if deaf {
 		time.Sleep(time.Second)
-		return discovery.Record{}, errAway
+		return discovery.Record{}, errUnavailable
 	}
 	w.mu.Lock()
-	fate, answer := w.fate, w.answer
+	fate, answer := w.beforeWrite, w.afterWrite
 	w.mu.Unlock()
 	if fate != nil {
-		if err := fate(g, r); errors.Is(err, errTurnedAway) {
+		if err := fate(g, r); errors.Is(err, errRejected) {
 			return discovery.Record{End: discovery.RecordRefused}, err
 		} else if err != nil {
 			return discovery.Record{}, err
 		}
 	}
-	g.pass()
+	g.waitWhileFrozen()
 	if ctx.Err() != nil {
 		return discovery.Record{}, ctx.Err() // killed before it was sent
 	}
 	record, err := w.write(r)
-	g.pass()
+	g.waitWhileFrozen()
 	if answer != nil && answer(g) != nil {
-		return discovery.Record{}, errAway
+		return discovery.Record{}, errUnavailable
 	}
 	return record, err
 }
 
-// setFate changes what happens to writes and to their answers.
-func (w *world) setFate(fate func(g *gateway, r catalog.Rollout) error, answer func(g *gateway) error) {
+// setWriteHooks changes beforeWrite and afterWrite.
+func (w *fleetSimulation) setWriteHooks(fate func(g *gateway, r catalog.Rollout) error, answer func(g *gateway) error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fate, w.answer = fate, answer
+	w.beforeWrite, w.afterWrite = fate, answer
 }
 
-// lateWrite leaves a write without an answer, and does it after a time if its condition
-// holds then.
-func (w *world) lateWrite(r catalog.Rollout, late time.Duration) {
-	time.AfterFunc(late, func() { _, _ = w.write(r) }) // refused is what should come of most
+// writeLater performs a write after a delay, if its condition holds then, without a
+// response.
+func (w *fleetSimulation) writeLater(r catalog.Rollout, delay time.Duration) {
+	time.AfterFunc(delay, func() { _, _ = w.write(r) }) // most should be refused
 }
 
-// at is the gateway at an address; nil if there is none.
-func (w *world) at(address string) *gateway {
+// byAddress returns the gateway at an address; nil if there is none.
+func (w *fleetSimulation) byAddress(address string) *gateway {
 	for _, g := range w.all() {
 		if g.self.Peer == address {
 			return g
@@ -449,25 +450,25 @@
 	return nil
 }
 
-func (w *world) isApart(a, b *gateway) bool {
+func (w *fleetSimulation) isPartitioned(a, b *gateway) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.apart(a, b)
+	return w.partitioned(a, b)
 }
 
-func (w *world) setApart(apart func(a, b *gateway) bool) {
+func (w *fleetSimulation) setPartition(apart func(a, b *gateway) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.apart = apart
+	w.partitioned = apart
 }
 
 // dial connects to another gateway.
 func (g *gateway) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	to := g.world.at(address)
+	to := g.world.byAddress(address)
 	if to == nil {
 		return nil, errors.New("connection refused")
 	}
-	if g.world.isApart(g, to) {
+	if g.world.isPartitioned(g, to) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -477,39 +478,39 @@
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
-	cut := func() bool { return g.world.isApart(g, to) }
+	cut := func() bool { return g.world.isPartitioned(g, to) }
 	to.conns = append(to.conns, far)
 	server := rpc.NewServer()
-	if service := to.Service(); !to.earlier.Load() {
+	if service := to.Service(); !to.withoutReports.Load() {
 		if err := server.RegisterName(service.Name, service.Methods); err != nil {
 			return nil, err
 		}
 	}
-	go server.ServeConn(&lossy{Conn: far, cut: cut})
-	return &lossy{Conn: near, cut: cut}, nil
+	go server.ServeConn(&lossy{Conn: far, isCut: cut})
+	return &lossy{Conn: near, isCut: cut}, nil
 }
 
-// lossy is a connection that loses what is written while its way is cut.
+// lossy is a connection that loses what is written while its path is partitioned.
 type lossy struct {
 	net.Conn
-	cut func() bool
+	isCut func() bool
 }
 
 func (l *lossy) Write(p []byte) (int, error) {
-	if l.cut() {
+	if l.isCut() {
 		return len(p), nil
 	}
 	return l.Conn.Write(p)
 }
 
-// stopAll ends all gateways.
-func (w *world) stopAll() {
+// stopAll kills all gateways.
+func (w *fleetSimulation) stopAll() {
 	for _, g := range w.all() {
 		g.mu.Lock()
 		frozen := g.frozen != nil
 		g.mu.Unlock()
 		if frozen {
-			g.wake()
+			g.unfreeze()
 		}
 		g.kill()
 	}
--- a/internal/gateway/delivery/takeover.go
+++ b/internal/gateway/delivery/takeover.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// takeoverPause is the least time between two takeovers of a rollout by one gateway; it
-// doubles with each. Two that read the store and can't reach each other go on taking over
-// from each other: eight times in a rollout of a quarter of a minute.
-const takeoverPause = time.Second
+// minTakeoverInterval is the shortest time between two takeovers of a rollout by one
+// gateway; it doubles with each. Two gateways that read the store and can't reach each
+// other keep taking over from each other: eight times in a rollout of a quarter of a
+// minute.
+const minTakeoverInterval = time.Second
 
-// stance is what is known of whether a gateway decides, by its answer to a report.
-type stance uint8
+// deciderStatus is what is known about whether a gateway decides, by its reply to a report.
+type deciderStatus uint8
 
 const (
-	_ stance = iota // nothing: it was not asked yet
-	// silent: it did not answer.
-	silent
-	// declines: it answered that it does not decide.
-	declines
-	// affirms: it answered that it does.
-	affirms
+	_ deciderStatus = iota // no report was sent yet
+	// unreachable: it did not reply.
+	unreachable
+	// notDeciding: it replied that it does not decide.
+	notDeciding
+	// deciding: it replied that it does.
+	deciding
 )
 
-// answer is how a gateway that was named to decide answered the latest report.
-type answer struct {
+// deciderReply is how a decider replied to the latest report.
+type deciderReply struct {
 	from   decider
-	stance stance
+	status deciderStatus
 }
 
-// takesOver says whether this gateway, which reads the store, takes a rollout over from
-// the one that is named; the lock is held.
-func (d *Delivery) takesOver(now time.Time, c *course) bool {
-	named := c.order.Decider != "" && c.order.Peer != ""
-	gone := c.told.from == c.decider() && (c.told.stance == silent || c.told.stance == declines)
-	if named && !gone {
+// shouldTakeOver reports whether this gateway, which reads the store, must take over a
+// rollout from its decider; the lock is held.
+func (d *Delivery) shouldTakeOver(now time.Time, c *trackedRollout) bool {
+	hasDecider := c.order.Decider != "" && c.order.Peer != ""
+	isLost := c.lastReply.from == c.decider() && (c.lastReply.status == unreachable || c.lastReply.status == notDeciding)
+	if hasDecider && !isLost {
 		return false
 	}
-	pause := takeoverPause << max(0, min(c.takeovers, maxDoublings)-1)
-	return c.takeovers == 0 || now.Sub(c.takenOver) >= pause
+	pause := minTakeoverInterval << max(0, min(c.takeovers, maxDoublings)-1)
+	return c.takeovers == 0 || now.Sub(c.lastTakeover) >= pause
 }
--- a/internal/gateway/delivery/takeover_test.go
+++ b/internal/gateway/delivery/takeover_test.go
@@ -9,8 +9,9 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// A report is sent by what is believed, which the other duty may look at later.
-func TestAnAnswerCountsThoughItComesBeforeTheNextLook(t *testing.T) {
+// A report is sent to the decider that is known when it is sent, which the deciding loop
+// may see only at its next refresh. The reply must not be lost until then.
+func TestDeciderReplyIsKeptWhenItPrecedesTheNextRefresh(t *testing.T) {
 	now := time.Unix(1, 0)
 	order := catalog.Rollout{
 		Service: "shop", Version: "v2", Revision: 1, State: catalog.RolloutRunning, Decider: "a", Peer: "a:80",
@@ -19,16 +20,16 @@
 		Self: member.Box{ID: "self", Peer: "self:80"}, Age: func() time.Duration { return 0 },
 		Rollouts: func() []catalog.Rollout { return []catalog.Rollout{order} },
 	})
-	d.look(now)
+	d.refresh(now)
 	order.Revision, order.Decider, order.Peer = 2, "b", "b:80"
-	d.heard(decider{id: "b", address: "b:80"}, []rollout.Report{{Service: "shop"}}, declines)
-	d.look(now)
-	if !d.takesOver(now, d.courses["shop"]) {
-		t.Error("what the new decider answered is forgotten")
+	d.recordReply(decider{id: "b", address: "b:80"}, []rollout.Report{{Service: "shop"}}, notDeciding)
+	d.refresh(now)
+	if !d.shouldTakeOver(now, d.tracked["shop"]) {
+		t.Error("the reply of the new decider was lost")
 	}
 	order.Revision, order.Decider, order.Peer = 3, "c", "c:80"
-	d.look(now)
-	if d.takesOver(now, d.courses["shop"]) {
-		t.Error("what one gateway answered counts for another")
+	d.refresh(now)
+	if d.shouldTakeOver(now, d.tracked["shop"]) {
+		t.Error("the reply of one gateway was applied to another")
 	}
 }
--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -61,7 +61,7 @@
 				return &countedConn{Conn: conn, carried: c}, err
 			},
 		})
-		for _, duty := range d.Duties() {
+		for _, duty := range d.Tasks() {
 			go func() { _ = duty(ctx) }()
 		}
 		return []discovery.Service{d.Service()}
