--- a/internal/gateway/delivery/decider_test.go
+++ b/internal/gateway/delivery/decider_test.go
@@ -105,12 +105,12 @@
 // A process may be replaced by one of the revision before, with the same id.
 func TestDeciderOfAnEarlierVersionIsReplaced(t *testing.T) {
 	simulate(t, 3, func(g *WithT, w *fleetSimulation) {
-		before := w.all()[0]
-		before.withoutReports.Store(true)
-		before.leaving.Store(true) // it does not decide
+		earlier := w.all()[0]
+		earlier.withoutReports.Store(true)
+		earlier.leaving.Store(true) // it does not decide
 		w.put(catalog.Rollout{
 			Service: "shop", Version: "v2", Within: within, State: catalog.RolloutRunning, Permille: 50,
-			Decider: before.self.ID, Peer: before.self.Peer,
+			Decider: earlier.self.ID, Peer: earlier.self.Peer,
 		})
 		g.Expect(w.waitForDecider("gateway-1")).To(BeNumerically("<", time.Second))
 		state, _ := w.waitForEnd("shop", within)
--- a/internal/gateway/delivery/failure_test.go
+++ b/internal/gateway/delivery/failure_test.go
@@ -140,8 +140,8 @@
 }
 
 // cutStoreFor makes the store unreachable for some gateways for a time.
-func (w *fleetSimulation) cutStoreFor(d time.Duration, some []*gateway) {
-	for _, g := range some {
+func (w *fleetSimulation) cutStoreFor(d time.Duration, gateways []*gateway) {
+	for _, g := range gateways {
 		g.setStoreCut(true)
 		time.AfterFunc(d, func() { g.setStoreCut(false) })
 	}
--- a/internal/gateway/delivery/report.go
+++ b/internal/gateway/delivery/report.go
@@ -70,7 +70,7 @@
 // marks them as sent.
 func (d *Delivery) due(r *reporter, running []catalog.Rollout) map[decider][]rollout.Report {
 	now := d.options.Clock()
-	every := max(r.interval, reportInterval)
+	interval := max(r.interval, reportInterval)
 	deciders := map[string]decider{}
 	for _, o := range running {
 		deciders[o.Service] = decider{id: o.Decider, address: o.Peer}
@@ -78,7 +78,7 @@
 	out := map[decider][]rollout.Report{}
 	for _, report := range d.options.Reports(running) {
 		to, last := deciders[report.Service], r.sent[report.Service]
-		if r.isBackingOff(now, to.address) || !last.isDue(now, to, report, every) {
+		if r.isBackingOff(now, to.address) || !last.isDue(now, to, report, interval) {
 			continue
 		}
 		r.sent[report.Service] = sent{to: to, at: now, report: report}
@@ -152,8 +152,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for service, c := range d.tracked {
-		asked := slices.ContainsFunc(reports, func(r rollout.Report) bool { return r.Service == service })
-		if asked || c.decider() == from {
+		isReported := slices.ContainsFunc(reports, func(r rollout.Report) bool { return r.Service == service })
+		if isReported || c.decider() == from {
 			c.lastReply = deciderReply{from: from, status: status}
 		}
 	}
--- a/internal/gateway/delivery/simulation_test.go
+++ b/internal/gateway/delivery/simulation_test.go
@@ -38,10 +38,10 @@
 	revision         uint64
 	objects          map[string]catalog.Rollout
 	written          []catalog.Rollout // every write that was done
-	writeAttempts    atomic.Int32      // writes that were tried
+	writeAttempts    atomic.Int32      // attempted writes
 	canaryFails      atomic.Bool       // all sends to the ordered version fail
-	paused           atomic.Bool       // nothing is decided
-	reportsAtAdvance atomic.Int32      // how many gateways' the latest advance went by
+	paused           atomic.Bool       // no decisions are made
+	reportsAtAdvance atomic.Int32      // the gateways that had reported at the latest advance
 	changed          chan struct{}
 	// beforeWrite is called before the store handles a write, and afterWrite before its
 	// response is returned; nil for none.
@@ -88,22 +88,22 @@
 // gateway is one gateway of the simulation.
 type gateway struct {
 	*delivery.Delivery
-	world          *fleetSimulation
+	fleet          *fleetSimulation
 	self           member.Box
 	stop           context.CancelFunc
 	log            *logBuffer
 	leaving        atomic.Bool
-	alwaysReads    atomic.Bool  // reads whoever else does
+	alwaysReads    atomic.Bool  // reads the store even if another gateway does
 	idle           atomic.Bool  // sends nothing
-	withoutReports atomic.Bool  // of a revision that takes no reports
-	active         atomic.Int32 // sends to the old version under way
+	withoutReports atomic.Bool  // of a revision that accepts no reports
+	active         atomic.Int32 // sends to the baseline in flight
 
 	mu          sync.Mutex
-	failedSince time.Time     // since when it is dead, frozen or without the store; zero if it is not
-	frozen      chan struct{} // closed when it wakes; nil while it is awake
+	failedSince time.Time     // since when it is dead, frozen or cut off from the store; zero if it is not
+	frozen      chan struct{} // closed when the gateway continues; nil while it is not frozen
 	dead        bool
-	storeCut    bool // without the store
-	stale       bool // without news of it
+	storeCut    bool // the store is unreachable
+	stale       bool // receives no updates from the store
 	lastKnown   []catalog.Rollout
 	conns       []net.Conn
 	// firstRunning is when an order was first seen running, and failed counts bad responses
@@ -121,7 +121,7 @@
 // start starts a gateway, in place of one with the same id.
 func (w *fleetSimulation) start(id string) *gateway {
 	ctx, stop := context.WithCancel(context.Background())
-	g := &gateway{world: w, stop: stop, log: &logBuffer{}, firstRunning: map[orderKey]time.Time{}, failed: map[orderKey]uint64{}, began: time.Now()}
+	g := &gateway{fleet: w, stop: stop, log: &logBuffer{}, firstRunning: map[orderKey]time.Time{}, failed: map[orderKey]uint64{}, began: time.Now()}
 	g.self = member.Box{ID: id, Peer: id + ":80", Start: uint64(time.Now().UnixNano())}
 	g.Delivery = delivery.New(delivery.Options{
 		Self: g.self, Limits: rollout.Limits{Share: 0.1, Slack: 50, RollBackWithin: 5 * time.Second},
@@ -218,22 +218,22 @@
 }
 
 // setStoreCut makes the store unreachable for a gateway, or reachable again.
-func (g *gateway) setStoreCut(deaf bool) {
-	heard := g.known()
+func (g *gateway) setStoreCut(cut bool) {
+	known := g.known()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.storeCut, g.lastKnown, g.failedSince = deaf, heard, time.Time{}
-	if deaf {
+	g.storeCut, g.lastKnown, g.failedSince = cut, known, time.Time{}
+	if cut {
 		g.failedSince = time.Now()
 	}
 }
 
 // stopUpdates stops the updates from the store to a gateway that can still write to it.
 func (g *gateway) stopUpdates() {
-	heard := g.known()
+	known := g.known()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stale, g.lastKnown = true, heard
+	g.stale, g.lastKnown = true, known
 }
 
 // seemsAlive reports whether others take the gateway for the reader if it ranks first.
@@ -246,17 +246,17 @@
 func (g *gateway) reads() bool {
 	g.waitWhileFrozen()
 	g.mu.Lock()
-	deaf := g.storeCut
+	cut := g.storeCut
 	g.mu.Unlock()
-	for _, other := range g.world.all() {
+	for _, other := range g.fleet.all() {
 		if other == g || g.alwaysReads.Load() {
 			break
 		}
-		if other.seemsAlive() && !g.world.isPartitioned(g, other) {
+		if other.seemsAlive() && !g.fleet.isPartitioned(g, other) {
 			return false
 		}
 	}
-	return !deaf
+	return !cut
 }
 
 // known returns the rollouts as the store has them, or had them when it was last reached.
@@ -267,7 +267,7 @@
 	if g.storeCut || g.stale {
 		return g.lastKnown
 	}
-	return g.world.list()
+	return g.fleet.list()
 }
 
 func (w *fleetSimulation) list() []catalog.Rollout {
@@ -281,14 +281,14 @@
 }
 
 func (g *gateway) changed() <-chan struct{} {
-	g.world.mu.Lock()
-	defer g.world.mu.Unlock()
-	return g.world.changed
+	g.fleet.mu.Lock()
+	defer g.fleet.mu.Unlock()
+	return g.fleet.changed
 }
 
 func (g *gateway) peers() []string {
 	var out []string
-	for _, other := range g.world.all() {
+	for _, other := range g.fleet.all() {
 		if other.seemsAlive() {
 			out = append(out, other.self.ID)
 		}
@@ -308,7 +308,7 @@
 	var out []rollout.Report
 	for _, r := range running {
 		key := keyOf(r)
-		if _, met := g.firstRunning[key]; !met {
+		if _, seen := g.firstRunning[key]; !seen {
 			g.firstRunning[key] = time.Now()
 		}
 		n := uint64(time.Since(g.firstRunning[key]) / sendEvery)
@@ -316,7 +316,7 @@
 			n = 0
 		}
 		canary := rollout.Counts{Sends: n + g.failed[key], Failed: g.failed[key]}
-		if g.world.canaryFails.Load() {
+		if g.fleet.canaryFails.Load() {
 			canary.Failed = canary.Sends
 		}
 		out = append(out, rollout.Report{
@@ -341,7 +341,7 @@
 
 // fail counts bad responses of the version that is ordered now.
 func (g *gateway) fail(service string, n uint64) {
-	key := keyOf(g.world.rollout(service))
+	key := keyOf(g.fleet.rollout(service))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failed[key] += n
@@ -394,22 +394,22 @@
 
 // record performs a gateway's write.
 func (g *gateway) record(ctx context.Context, r catalog.Rollout) (discovery.Record, error) {
-	w := g.world
+	w := g.fleet
 	g.waitWhileFrozen()
 	w.writeAttempts.Add(1)
 	time.Sleep(4 * time.Millisecond)
 	g.mu.Lock()
-	deaf := g.storeCut
+	cut := g.storeCut
 	g.mu.Unlock()
-	if deaf {
+	if cut {
 		time.Sleep(time.Second)
 		return discovery.Record{}, errUnavailable
 	}
 	w.mu.Lock()
-	fate, answer := w.beforeWrite, w.afterWrite
+	before, after := w.beforeWrite, w.afterWrite
 	w.mu.Unlock()
-	if fate != nil {
-		if err := fate(g, r); errors.Is(err, errRejected) {
+	if before != nil {
+		if err := before(g, r); errors.Is(err, errRejected) {
 			return discovery.Record{End: discovery.RecordRefused}, err
 		} else if err != nil {
 			return discovery.Record{}, err
@@ -421,17 +421,17 @@
 	}
 	record, err := w.write(r)
 	g.waitWhileFrozen()
-	if answer != nil && answer(g) != nil {
+	if after != nil && after(g) != nil {
 		return discovery.Record{}, errUnavailable
 	}
 	return record, err
 }
 
 // setWriteHooks changes beforeWrite and afterWrite.
-func (w *fleetSimulation) setWriteHooks(fate func(g *gateway, r catalog.Rollout) error, answer func(g *gateway) error) {
+func (w *fleetSimulation) setWriteHooks(beforeWrite func(g *gateway, r catalog.Rollout) error, afterWrite func(g *gateway) error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.beforeWrite, w.afterWrite = fate, answer
+	w.beforeWrite, w.afterWrite = beforeWrite, afterWrite
 }
 
 // writeLater performs a write after a delay, if its condition holds then, without a
@@ -456,19 +456,19 @@
 	return w.partitioned(a, b)
 }
 
-func (w *fleetSimulation) setPartition(apart func(a, b *gateway) bool) {
+func (w *fleetSimulation) setPartition(partitioned func(a, b *gateway) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.partitioned = apart
+	w.partitioned = partitioned
 }
 
 // dial connects to another gateway.
 func (g *gateway) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	to := g.world.byAddress(address)
+	to := g.fleet.byAddress(address)
 	if to == nil {
 		return nil, errors.New("connection refused")
 	}
-	if g.world.isPartitioned(g, to) {
+	if g.fleet.isPartitioned(g, to) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -477,17 +477,17 @@
 	if to.dead {
 		return nil, errors.New("connection refused")
 	}
-	near, far := net.Pipe()
-	cut := func() bool { return g.world.isPartitioned(g, to) }
-	to.conns = append(to.conns, far)
+	local, remote := net.Pipe()
+	cut := func() bool { return g.fleet.isPartitioned(g, to) }
+	to.conns = append(to.conns, remote)
 	server := rpc.NewServer()
 	if service := to.Service(); !to.withoutReports.Load() {
 		if err := server.RegisterName(service.Name, service.Methods); err != nil {
 			return nil, err
 		}
 	}
-	go server.ServeConn(&lossy{Conn: far, isCut: cut})
-	return &lossy{Conn: near, isCut: cut}, nil
+	go server.ServeConn(&lossy{Conn: remote, isCut: cut})
+	return &lossy{Conn: local, isCut: cut}, nil
 }
 
 // lossy is a connection that loses what is written while its path is partitioned.
