--- a/core/gateway/changes/changes.go
+++ b/core/gateway/changes/changes.go
@@ -17,8 +17,8 @@
 	"slices"
 )
 
-// Position is the version that a list has reached, by which another gateway says what it has
-// received of the list. The zero Position is that of an empty list.
+// Position is the version that a list has reached, which another gateway sends to tell how
+// much of the list it has received. The zero Position is that of an empty list.
 type Position struct {
 	// Log identifies the list: a gateway that restarts has another number.
 	Log     uint64
--- a/core/gateway/rollout/age.go
+++ b/core/gateway/rollout/age.go
@@ -50,7 +50,7 @@
 	o, known := a.orders[r.Service]
 	switch {
 	case known && !isNewOrder(o.rollout, r):
-		// A confirmation says nothing about a record that was seen before it.
+		// A confirmation gives no bound for a record that was seen before it.
 		if r.Elapsed != o.rollout.Elapsed || r.At != o.rollout.At {
 			o.tighten(now, maxRecordedAge(now, r, confirmed))
 		}
--- a/core/gateway/rollout/assign.go
+++ b/core/gateway/rollout/assign.go
@@ -12,7 +12,7 @@
 // FullShare is the share of all requests, in thousandths.
 const FullShare = 1000
 
-// Assignment says which targets of a service take requests while one of its versions is on
+// Assignment holds the targets of a service that take requests while one of its versions is on
 // trial.
 type Assignment struct {
 	rollout  catalog.Rollout
@@ -21,7 +21,7 @@
 	canary   []catalog.Target
 }
 
-// Assign divides the targets of a service that take requests. onTrial says that the ordered
+// Assign divides the targets of a service that take requests. onTrial is true if the ordered
 // version is not the one in service (Versions.OnTrial).
 //
 // The canary's share goes to so few of its targets that each has the utilization that all
--- a/core/gateway/rollout/decide.go
+++ b/core/gateway/rollout/decide.go
@@ -29,7 +29,7 @@
 	// was first seen by this process.
 	Age      time.Duration
 	StageAge time.Duration
-	// OnTrial says that the ordered version is not the one in service.
+	// OnTrial is true if the ordered version is not the one in service.
 	OnTrial bool
 	// Baseline and Canary are the numbers of targets of the two versions that take
 	// requests, and Warm the number of canary targets that are not cold.
@@ -109,7 +109,7 @@
 	Age time.Duration
 	// Route is the one with the strongest evidence against the version, "" for all
 	// together, and Span the latest time in which it was found, 0 for all since the order.
-	// Pair holds the route's counts in that time, and Statistic says how many times
+	// Pair holds the route's counts in that time, and Statistic is how many times
 	// likelier these are for a bad version; from Threshold on the version is rolled back.
 	Route     string
 	Span      time.Duration
--- a/core/gateway/rollout/evidence.go
+++ b/core/gateway/rollout/evidence.go
@@ -40,7 +40,7 @@
 // RouteCounts are the counts of one route and one of the two versions that are compared.
 type RouteCounts struct {
 	Route string
-	// Canary says that the counts are of the ordered version, not of the baseline.
+	// Canary is true if the counts are of the ordered version, not of the baseline.
 	Canary bool
 	Counts Counts
 }
--- a/core/gateway/routing/routing.go
+++ b/core/gateway/routing/routing.go
@@ -38,7 +38,7 @@
 	Prefix string
 	// Shares are the services that take the requests.
 	Shares []Share
-	// Repeatable says whether a request may be executed more than once.
+	// Repeatable is true if a request may be executed more than once.
 	Repeatable bool
 	// Objective is the latency objective, within which a response has its full value.
 	Objective time.Duration
@@ -51,7 +51,7 @@
 	// Regions are those whose targets may receive the requests; nil for all, empty for
 	// none.
 	Regions []string
-	// Public says that requests need no key where the configuration has workspaces.
+	// Public is true if requests need no key where the configuration has workspaces.
 	Public bool
 }
 
--- a/internal/gateway/delivery/protocol.go
+++ b/internal/gateway/delivery/protocol.go
@@ -23,7 +23,7 @@
 
 // ReportReply is the reply to reports.
 type ReportReply struct {
-	// Decides says that the replying gateway is the named decider, and decides.
+	// Decides is true if the replying gateway is the named decider, and decides.
 	Decides bool
 	// Every is the shortest time between two reports, by the number of gateways that
 	// report.
--- a/internal/gateway/delivery/report.go
+++ b/internal/gateway/delivery/report.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// statusOf returns what an error says about whether a gateway decides: one of an earlier
+// statusOf derives from an error whether a gateway decides: one of an earlier
 // version accepts no reports.
 func statusOf(err error) deciderStatus {
 	var answered rpc.ServerError
