--- a/core/gateway/catalog/catalog.go
+++ b/core/gateway/catalog/catalog.go
@@ -58,8 +58,8 @@
 	return StoreLife(p.ConfigRevision) < StoreLife(other.ConfigRevision) || StoreLife(p.Targets) < StoreLife(other.Targets)
 }
 
-// Lacks says whether there is anything at another position that is missing at this one.
-func (p Position) Lacks(other Position) bool {
+// IsBehind says whether there is anything at another position that is missing at this one.
+func (p Position) IsBehind(other Position) bool {
 	return other.Config > p.Config || other.Changed > p.Targets ||
 		other.EvacuationsChanged > p.Evacuations || other.RolloutsChanged > p.Rollouts
 }
@@ -96,8 +96,8 @@
 // Any says whether anything changed.
 func (c Changed) Any() bool { return c.Config || c.Targets || c.Evacuations || c.Rollouts }
 
-// Guess is what the store held some time ago.
-type Guess struct {
+// StaleCopy is what the store held some time ago.
+type StaleCopy struct {
 	// Version and Body are the configuration's.
 	Version     uint64
 	Body        []byte
@@ -141,10 +141,10 @@
 // Targets lists the targets by id.
 func (c *Catalog) Targets() []Target { return c.targets.list() }
 
-// Guess takes in what the store held some time ago, in place of knowing nothing. The
+// LoadStale takes in what the store held some time ago, in place of knowing nothing. The
 // position stays that of a catalog without targets and evacuations, so that all that
 // others know is still missing.
-func (c *Catalog) Guess(g Guess) Changed {
+func (c *Catalog) LoadStale(g StaleCopy) Changed {
 	return Changed{
 		Config:      c.SetConfig(g.Version, g.Body),
 		Targets:     c.targets.known == 0 && c.targets.guess(c.believedTargets(g.Targets)),
@@ -165,8 +165,8 @@
 	return true
 }
 
-// SeenConfig notes that the store held no newer configuration at a revision.
-func (c *Catalog) SeenConfig(revision uint64) {
+// ConfirmConfig notes that the store held no newer configuration at a revision.
+func (c *Catalog) ConfirmConfig(revision uint64) {
 	c.configRevision = max(c.configRevision, revision)
 }
 
@@ -202,10 +202,10 @@
 	return changed
 }
 
-// Drain takes in that a target said itself that it leaves, and says whether that changes what is
+// MarkLeaving takes in that a target said itself that it leaves, and says whether that changes what is
 // believed. Its entry may say so later, or never. The position stays, since the store holds nothing
 // new.
-func (c *Catalog) Drain(life Life) bool {
+func (c *Catalog) MarkLeaving(life Life) bool {
 	entry, ok := c.targets.entries[life.ID]
 	if !ok || entry.Leaving || entry.Life() != life {
 		return false
@@ -219,7 +219,7 @@
 // is believed is as far as its position.
 func (c *Catalog) CatchUp(theirs Position) {
 	if theirs.Config == c.version {
-		c.SeenConfig(theirs.ConfigRevision)
+		c.ConfirmConfig(theirs.ConfigRevision)
 	}
 	c.targets.catchUp(theirs.Targets, theirs.Changed)
 	c.evacuations.catchUp(theirs.Evacuations, theirs.EvacuationsChanged)
--- a/core/gateway/catalog/catalog_test.go
+++ b/core/gateway/catalog/catalog_test.go
@@ -22,17 +22,17 @@
 	g := NewWithT(t)
 	c := catalog.New()
 	g.Expect(c.HasTargets()).To(BeFalse())
-	changed := c.Guess(catalog.Guess{Version: 3, Body: []byte("three"), Targets: []catalog.Target{target("gone"), target("lives")}})
+	changed := c.LoadStale(catalog.StaleCopy{Version: 3, Body: []byte("three"), Targets: []catalog.Target{target("gone"), target("lives")}})
 	g.Expect(changed).To(Equal(catalog.Changed{Config: true, Targets: true}))
 	g.Expect(c.HasTargets()).To(BeTrue())
 	g.Expect(c.Position()).To(Equal(catalog.Position{Config: 3}))
 	other := catalog.New()
 	other.SetConfig(3, []byte("three"))
 	other.Replace(530, []catalog.Target{target("lives"), target("new")})
-	g.Expect(c.Position().Lacks(other.Position())).To(BeTrue(), "all that others know")
+	g.Expect(c.Position().IsBehind(other.Position())).To(BeTrue(), "all that others know")
 	c.Merge(other.Since(c.Position()))
 	g.Expect(c.Targets()).To(ConsistOf(target("lives"), target("new")))
-	changed = c.Guess(catalog.Guess{Version: 2, Body: []byte("two"), Targets: []catalog.Target{target("gone")}})
+	changed = c.LoadStale(catalog.StaleCopy{Version: 2, Body: []byte("two"), Targets: []catalog.Target{target("gone")}})
 	g.Expect(changed.Any()).To(BeFalse(), "nothing goes back")
 	g.Expect(c.Targets()).To(HaveLen(2))
 }
@@ -40,9 +40,9 @@
 func TestAGuessThatWasRightIsStillNewsToOthers(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
-	c.Guess(catalog.Guess{Version: 3, Body: []byte("three"), Targets: []catalog.Target{target("lives")}})
+	c.LoadStale(catalog.StaleCopy{Version: 3, Body: []byte("three"), Targets: []catalog.Target{target("lives")}})
 	g.Expect(c.Replace(530, []catalog.Target{target("lives")})).To(BeTrue())
-	g.Expect(catalog.Position{Config: 3}.Lacks(c.Position())).To(BeTrue(), "or it would take itself for as far, without any targets")
+	g.Expect(catalog.Position{Config: 3}.IsBehind(c.Position())).To(BeTrue(), "or it would take itself for as far, without any targets")
 }
 
 func TestAnOlderConfigurationNeverComesBack(t *testing.T) {
@@ -132,7 +132,7 @@
 		g.Expect(follower.Config()).To(Equal(reader.Config()))
 		g.Expect(follower.Evacuations()).To(Equal(reader.Evacuations()))
 		g.Expect(follower.Rollouts()).To(Equal(reader.Rollouts()))
-		g.Expect(follower.Position().Lacks(reader.Position())).To(BeFalse())
+		g.Expect(follower.Position().IsBehind(reader.Position())).To(BeFalse())
 	})
 }
 
@@ -160,12 +160,12 @@
 	g := NewWithT(t)
 	knows, not := catalog.New(), catalog.New()
 	knows.ReplaceEvacuations(5, nil)
-	g.Expect(not.Position().Lacks(knows.Position())).To(BeTrue())
+	g.Expect(not.Position().IsBehind(knows.Position())).To(BeTrue())
 	g.Expect(not.Merge(knows.Since(not.Position())).Evacuations).To(BeTrue())
 	g.Expect(not.Position()).To(Equal(knows.Position()))
 	g.Expect(knows.Since(not.Position()).IsEmpty()).To(BeTrue())
 	knows.AdvanceEvacuations(8, nil)
-	g.Expect(not.Position().Lacks(knows.Position())).To(BeFalse())
+	g.Expect(not.Position().IsBehind(knows.Position())).To(BeFalse())
 	g.Expect(knows.Since(not.Position()).IsEmpty()).To(BeTrue(), "nothing has changed")
 }
 
@@ -177,20 +177,20 @@
 	knows.ReplaceEvacuations(530, nil)
 	not.Merge(catalog.Delta{To: knows.Position(), HasEvacuations: true})
 	g.Expect(not.Position()).To(Equal(catalog.Position{Evacuations: 530, EvacuationsChanged: 530}))
-	g.Expect(not.Position().Lacks(knows.Position())).To(BeTrue())
+	g.Expect(not.Position().IsBehind(knows.Position())).To(BeTrue())
 	not.CatchUp(knows.Position())
-	g.Expect(not.Position().Lacks(knows.Position())).To(BeTrue())
+	g.Expect(not.Position().IsBehind(knows.Position())).To(BeTrue())
 }
 
 func TestAGuessOfEvacuationsServesUntilSomethingIsKnown(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
-	g.Expect(c.Guess(catalog.Guess{Evacuations: []catalog.Evacuation{evacuation("a")}}).Evacuations).To(BeTrue())
+	g.Expect(c.LoadStale(catalog.StaleCopy{Evacuations: []catalog.Evacuation{evacuation("a")}}).Evacuations).To(BeTrue())
 	g.Expect(c.IsEvacuated("a")).To(BeTrue())
 	g.Expect(c.Position()).To(Equal(catalog.Position{}), "others may know better")
 	c.ReplaceEvacuations(5, nil)
 	g.Expect(c.IsEvacuated("a")).To(BeFalse())
-	g.Expect(c.Guess(catalog.Guess{Evacuations: []catalog.Evacuation{evacuation("a")}}).Any()).To(BeFalse())
+	g.Expect(c.LoadStale(catalog.StaleCopy{Evacuations: []catalog.Evacuation{evacuation("a")}}).Any()).To(BeFalse())
 }
 
 func ExampleCatalog_Since() {
--- a/core/gateway/catalog/revision_test.go
+++ b/core/gateway/catalog/revision_test.go
@@ -163,7 +163,7 @@
 
 	reader.Replace(copied, []catalog.Target{shopTarget("a"), shopTarget("back")})
 	reader.ReplaceEvacuations(copied, []catalog.Evacuation{{Hall: "a"}})
-	g.Expect(other.Position().Lacks(reader.Position())).To(BeTrue())
+	g.Expect(other.Position().IsBehind(reader.Position())).To(BeTrue())
 	other.Merge(reader.Since(other.Position()))
 	g.Expect(idsOf(other)).To(Equal([]string{"a", "back"}))
 	g.Expect(other.Evacuations()).To(Equal([]catalog.Evacuation{{Hall: "a"}}))
--- a/internal/gateway/discovery/calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -23,7 +23,7 @@
 	f.apply(fromStore, func(c *catalog.Catalog) catalog.Changed {
 		latest := changes.Latest
 		changed := latest != nil && c.SetConfig(latest.Version, latest.Body)
-		c.SeenConfig(changes.Revision)
+		c.ConfirmConfig(changes.Revision)
 		return catalog.Changed{Config: changed}
 	})
 	return nil
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -96,7 +96,7 @@
 // held.
 func (f *Follower) compare(now time.Time, peer member.Box, reply *UpdateReply) {
 	theirs := reply.Delta.To
-	if f.catalog.Position().Lacks(theirs) {
+	if f.catalog.Position().IsBehind(theirs) {
 		f.noteOffer(now, offer{peer: peer, at: theirs})
 		return
 	}
--- a/internal/gateway/discovery/fetch.go
+++ b/internal/gateway/discovery/fetch.go
@@ -86,7 +86,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	lacks := f.catalog.Position().Lacks(o.at)
+	lacks := f.catalog.Position().IsBehind(o.at)
 	args = f.standing(now)
 	args.Digest = !lacks
 	return args, lacks || o.fresher && f.fresh.IsOld(now)
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -135,7 +135,7 @@
 	args := f.standing(now)
 	args.Wait, args.Digest = wait, !f.asksInFull(n.peer)
 	args.AsksFatal, args.FatalAt = true, f.asksAll(n.receivedUpdates).String()
-	if args.Digest && args.At.Lacks(n.at) {
+	if args.Digest && args.At.IsBehind(n.at) {
 		args.At = n.at // what is missing here is asked for already
 	}
 	args.Age = min(args.Age, now.Sub(n.confirmed))
@@ -180,7 +180,7 @@
 // lock is held.
 func (f *Follower) isWorthSending(now time.Time, n *neighbour) bool {
 	leaves := f.view.Self().Leaving && !n.sentLeaving
-	further := n.at.Lacks(f.catalog.Position())
+	further := n.at.IsBehind(f.catalog.Position())
 	tries := f.tries.Version() != n.sentTries
 	return leaves || further || tries || f.lacksUpdates(f.asksAll(n.sentUpdates)) || f.fresh.Confirms(now, now.Sub(n.confirmed))
 }
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -52,7 +52,7 @@
 	}
 	f.apply(fromTarget, func(c *catalog.Catalog) (changed catalog.Changed) {
 		for _, life := range lives {
-			changed.Targets = c.Drain(life) || changed.Targets
+			changed.Targets = c.MarkLeaving(life) || changed.Targets
 		}
 		return changed
 	})
--- a/internal/gateway/discovery/region.go
+++ b/internal/gateway/discovery/region.go
@@ -84,7 +84,7 @@
 		news.Config = body
 	}
 	f.apply(args.From.Peer, func(c *catalog.Catalog) catalog.Changed {
-		if c.Position().Lacks(args.Base) {
+		if c.Position().IsBehind(args.Base) {
 			return catalog.Changed{}
 		}
 		return c.Merge(news)
--- a/internal/gateway/discovery/region_test.go
+++ b/internal/gateway/discovery/region_test.go
@@ -22,7 +22,7 @@
 		Decode: func([]byte) (*routing.Table, error) { return routing.New(routing.Config{Version: 1}), nil },
 	})
 	f.apply("test", func(c *catalog.Catalog) catalog.Changed {
-		c.SeenConfig(1)
+		c.ConfirmConfig(1)
 		c.SetConfig(1, []byte("one"))
 		c.Replace(4, []catalog.Target{{ID: "t1", Service: "shop"}})
 		return catalog.Changed{}
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -122,7 +122,7 @@
 		return
 	}
 	f.greet(now, args.From, f.view.Called)
-	told := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().Lacks(args.At)}
+	told := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().IsBehind(args.At)}
 	if !told.fresher || f.fresh.Age(now) > args.Age {
 		f.noteOffer(now, told)
 	}
@@ -170,7 +170,7 @@
 	if !a.FollowsRollouts {
 		position.RolloutsChanged = 0
 	}
-	return a.At.Lacks(position)
+	return a.At.IsBehind(position)
 }
 
 // hasAnswer says whether there is something to answer now: an update, news that
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -58,15 +58,15 @@
 	}
 	guess, ok := f.guess(ctx, seen)
 	if ok {
-		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.Guess(guess) })
+		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.LoadStale(guess) })
 	}
 	return ok
 }
 
 // guess completes a stale read with those of the evacuations and of the rollouts, where these
 // are followed; ok is false if it must not be served by.
-func (f *Follower) guess(ctx context.Context, seen StaleRead) (guess catalog.Guess, ok bool) {
-	guess = catalog.Guess{Version: seen.Config.Version, Body: seen.Config.Body, Targets: ownTargets(seen.Targets)}
+func (f *Follower) guess(ctx context.Context, seen StaleRead) (guess catalog.StaleCopy, ok bool) {
+	guess = catalog.StaleCopy{Version: seen.Config.Version, Body: seen.Config.Body, Targets: ownTargets(seen.Targets)}
 	if f.options.Source.followsEvacuations() {
 		evacuations, err := f.options.Source.StaleEvacuations(ctx)
 		if guess.Evacuations = evacuations.Items; err != nil {
