--- a/core/gateway/catalog/catalog.go
+++ b/core/gateway/catalog/catalog.go
@@ -1,51 +1,50 @@
-// Package catalog holds what a gateway believes of the configuration, of the targets,
-// of the halls that are evacuated and of the rollouts: the greatest version seen of
-// each, however it was learnt. Nothing ever goes back: an older configuration is not
-// taken in, a target that has begun to leave stays leaving for that life of it, and an update of
-// an earlier life of a target undoes nothing that is known of a later one (lives). Evacuations and
-// rollouts are as the store has them, since operators begin and end them as often as
-// they like.
+// Package catalog holds a gateway's known state of the configuration, the targets, the
+// evacuated halls and the rollouts: the greatest version seen of each, whatever its
+// source. State never goes back: an older configuration is ignored, a target that has
+// begun to leave stays leaving for that incarnation, and an update about an earlier
+// incarnation of a target does not override a later one (incarnations). Evacuations and
+// rollouts follow the store, since operators begin and end them as often as they like.
 //
-// It owns that knowledge for the life of the process. It relies on nothing else,
-// does no I/O and takes no lock; internal/gateway/discovery guards it. The
+// The catalog keeps that state in memory until the process ends. It depends on no other
+// state, does no I/O and takes no lock; internal/gateway/discovery serializes access. The
 // configuration is an opaque body with a version. Targets, evacuations and rollouts are
-// tables (table) at a revision of the store, with the latest changes kept so that another
-// gateway which is a little behind can be sent those alone; evacuations, of which there
-// are no more than halls, and rollouts, no more than services, are sent whole.
+// tables (table) at a revision of the store, with a log of the latest changes, so that a
+// peer that is a little behind can be sent those alone. Evacuations, at most one per hall,
+// and rollouts, at most one per service, are sent whole.
 //
 // Gateways send each other Position, Delta, Change, Target, Evacuation and Rollout by
 // net/rpc: their fields are exported for its codec and keep their names. A field that
-// one of an earlier version does not send is zero: it knows of no evacuations or
-// rollouts then, not that there are none.
+// a gateway of an earlier version does not send is zero, which means that it knows nothing
+// of evacuations or rollouts, not that there are none.
 //
 // # Usage
 //
 //	c := catalog.New()
 //	c.Replace(530, targets)               // a list, at the store's revision
-//	c.Advance(533, changes)               // what a watch reported since
+//	c.Advance(533, changes)               // the changes that a watch has reported since
 //	c.ReplaceEvacuations(533, nil)        // no hall is evacuated
 //	delta := c.Since(catalog.Position{Config: 7, Targets: 530})
 package catalog
 
-// Change is one target at one revision of the store.
+// Change is the addition, update or removal of one target at one revision of the store.
 type Change struct {
 	Revision uint64
 	Target   Target
 	Gone     bool
 }
 
-// Position is how far the knowledge of a gateway has come. Revisions are those of Revision.
+// Position is how recent the known state of a gateway is. Revisions are made by Revision.
 type Position struct {
 	// Config is the configuration's version.
 	Config uint64
-	// ConfigRevision is the store's revision up to which it is the latest.
+	// ConfigRevision is the store's revision up to which that version is the latest.
 	ConfigRevision uint64
 	// Targets is the store's revision up to which the targets are known, and Changed
-	// that at which one of them last changed.
+	// the revision at which one of them last changed.
 	Targets uint64
 	Changed uint64
-	// Evacuations and EvacuationsChanged are these of the evacuations; 0 where none is
-	// known, as of a gateway that does not follow them.
+	// Evacuations and EvacuationsChanged are the same for the evacuations; 0 if they were
+	// never read, as in a gateway that does not follow them.
 	Evacuations        uint64
 	EvacuationsChanged uint64
 	// Rollouts and RolloutsChanged are the same for the rollouts.
@@ -53,39 +52,39 @@
 	RolloutsChanged uint64
 }
 
-// OfEarlierLife says whether a position is of an earlier life of the store than another.
+// OfEarlierLife reports whether a position is from an earlier epoch of the store than another.
 func (p Position) OfEarlierLife(other Position) bool {
 	return StoreLife(p.ConfigRevision) < StoreLife(other.ConfigRevision) || StoreLife(p.Targets) < StoreLife(other.Targets)
 }
 
-// IsBehind says whether there is anything at another position that is missing at this one.
+// IsBehind reports whether another position includes anything that this one does not.
 func (p Position) IsBehind(other Position) bool {
 	return other.Config > p.Config || other.Changed > p.Targets ||
 		other.EvacuationsChanged > p.Evacuations || other.RolloutsChanged > p.Rollouts
 }
 
-// Delta brings a gateway from its position to To.
+// Delta brings the catalog of a gateway from its position to To.
 type Delta struct {
 	To Position
-	// Config is the body of the configuration, when the gateway's is older.
+	// Config is the body of the configuration; nil if the gateway's is as recent.
 	Config []byte
-	// Whole says that Changes are all targets and that others are gone.
+	// Whole means that Changes lists all targets; any other target is gone.
 	Whole   bool
 	Changes []Change
-	// HasEvacuations says that Evacuations are all that there are.
+	// HasEvacuations means that Evacuations is the complete list.
 	HasEvacuations bool
 	Evacuations    []Evacuation
-	// HasRollouts says that Rollouts are all that there are.
+	// HasRollouts means that Rollouts is the complete list.
 	HasRollouts bool
 	Rollouts    []Rollout
 }
 
-// IsEmpty says whether there is nothing in it but a position.
+// IsEmpty reports whether the delta holds only a position.
 func (d Delta) IsEmpty() bool {
 	return d.Config == nil && !d.Whole && len(d.Changes) == 0 && !d.HasEvacuations && !d.HasRollouts
 }
 
-// Changed says what of a catalog changed.
+// Changed tells which parts of a catalog an update changed.
 type Changed struct {
 	Config      bool
 	Targets     bool
@@ -93,12 +92,12 @@
 	Rollouts    bool
 }
 
-// Any says whether anything changed.
+// Any reports whether any part changed.
 func (c Changed) Any() bool { return c.Config || c.Targets || c.Evacuations || c.Rollouts }
 
-// StaleCopy is what the store held some time ago.
+// StaleCopy is the content of the store as of some time ago.
 type StaleCopy struct {
-	// Version and Body are the configuration's.
+	// Version and Body are those of the configuration.
 	Version     uint64
 	Body        []byte
 	Targets     []Target
@@ -106,13 +105,13 @@
 	Rollouts    []Rollout
 }
 
-// Catalog is what is believed. It is not safe for concurrent use.
+// Catalog is a gateway's known state. It is not safe for concurrent use.
 type Catalog struct {
 	version        uint64
 	configRevision uint64
 	config         []byte
 	targets        table[Target]
-	lives          lives
+	incarnations   incarnations
 	evacuations    table[Evacuation]
 	rollouts       table[Rollout]
 }
@@ -120,12 +119,12 @@
 // New makes an empty catalog.
 func New() *Catalog {
 	return &Catalog{
-		targets: newTable[Target](), lives: lives{},
+		targets: newTable[Target](), incarnations: incarnations{},
 		evacuations: newTable[Evacuation](), rollouts: newTable[Rollout](),
 	}
 }
 
-// Position is how far the catalog has come.
+// Position returns how recent the catalog is.
 func (c *Catalog) Position() Position {
 	return Position{
 		Config: c.version, ConfigRevision: c.configRevision,
@@ -135,28 +134,29 @@
 	}
 }
 
-// Config is the body of the configuration.
+// Config returns the body of the configuration.
 func (c *Catalog) Config() []byte { return c.config }
 
 // Targets lists the targets by id.
 func (c *Catalog) Targets() []Target { return c.targets.list() }
 
-// LoadStale takes in what the store held some time ago, in place of knowing nothing. The
-// position stays that of a catalog without targets and evacuations, so that all that
-// others know is still missing.
-func (c *Catalog) LoadStale(g StaleCopy) Changed {
+// LoadStale fills the parts of the catalog that were never read with a stale copy of the
+// store. The position stays that of a catalog without targets and evacuations, so that it
+// is still behind every peer that has read them.
+func (c *Catalog) LoadStale(s StaleCopy) Changed {
 	return Changed{
-		Config:      c.SetConfig(g.Version, g.Body),
-		Targets:     c.targets.known == 0 && c.targets.guess(c.believedTargets(g.Targets)),
-		Evacuations: c.evacuations.guess(byHall(g.Evacuations)),
-		Rollouts:    c.rollouts.guess(byService(g.Rollouts)),
+		Config:      c.SetConfig(s.Version, s.Body),
+		Targets:     c.targets.known == 0 && c.targets.loadStale(c.resolveTargets(s.Targets)),
+		Evacuations: c.evacuations.loadStale(byHall(s.Evacuations)),
+		Rollouts:    c.rollouts.loadStale(byService(s.Rollouts)),
 	}
 }
 
-// HasTargets says whether any targets are believed, be it by a guess.
+// HasTargets reports whether the targets were read or any were loaded from a stale copy.
 func (c *Catalog) HasTargets() bool { return c.targets.known > 0 || len(c.targets.entries) > 0 }
 
-// SetConfig takes in a configuration if it is newer than the one that is held.
+// SetConfig applies a configuration if it is newer than the current one, and reports
+// whether it was.
 func (c *Catalog) SetConfig(version uint64, body []byte) bool {
 	if version <= c.version {
 		return false
@@ -165,58 +165,58 @@
 	return true
 }
 
-// ConfirmConfig notes that the store held no newer configuration at a revision.
+// ConfirmConfig records that the store held no newer configuration at a revision.
 func (c *Catalog) ConfirmConfig(revision uint64) {
 	c.configRevision = max(c.configRevision, revision)
 }
 
-// Replace takes in all targets as the store held them at a revision, if that is not
-// older than what is held. A target that has begun to leave comes back only in another life.
-// Of a store that has come back from an older copy it takes in only what becomes of the
-// targets that are known; the next list of that life is taken in whole.
+// Replace applies a complete list of targets as the store held it at a revision, unless
+// that is older than the known one. A target that has begun to leave comes back only as
+// another incarnation. From a store that was restored from an older copy only changes of
+// known targets are applied; the next list of that epoch is applied whole.
 func (c *Catalog) Replace(revision uint64, targets []Target) bool {
-	believed := c.believedTargets(targets)
-	if c.targets.rewound(revision) {
-		believed = c.targets.reconcile(believed)
+	resolved := c.resolveTargets(targets)
+	if c.targets.isRewound(revision) {
+		resolved = c.targets.mergeOlderCopy(resolved)
 	}
-	return c.replaceTargets(revision, believed)
+	return c.replaceTargets(revision, resolved)
 }
 
-func (c *Catalog) replaceTargets(revision uint64, believed map[string]Target) bool {
+func (c *Catalog) replaceTargets(revision uint64, resolved map[string]Target) bool {
 	if revision < c.targets.known {
 		return false
 	}
-	changed := c.targets.replace(revision, believed)
-	c.lives.trim(c.targets.entries)
+	changed := c.targets.replace(revision, resolved)
+	c.incarnations.trim(c.targets.entries)
 	return changed
 }
 
-// Advance takes in the changes of targets up to a revision.
+// Advance applies the changes of targets up to a revision.
 func (c *Catalog) Advance(revision uint64, changes []Change) bool {
-	made := make([]entryChange[Target], 0, len(changes))
+	converted := make([]entryChange[Target], 0, len(changes))
 	for _, change := range changes {
-		made = append(made, entryChange[Target]{revision: change.Revision, id: change.Target.ID, entry: change.Target, gone: change.Gone})
+		converted = append(converted, entryChange[Target]{revision: change.Revision, id: change.Target.ID, entry: change.Target, gone: change.Gone})
 	}
-	changed := c.targets.advance(revision, made, c.believed)
-	c.lives.trim(c.targets.entries)
+	changed := c.targets.advance(revision, converted, c.resolve)
+	c.incarnations.trim(c.targets.entries)
 	return changed
 }
 
-// MarkLeaving takes in that a target said itself that it leaves, and says whether that changes what is
-// believed. Its entry may say so later, or never. The position stays, since the store holds nothing
-// new.
+// MarkLeaving records that a target itself has advertised that it is leaving, and reports
+// whether that changes the known state. Its entry in the store may show it later, or never.
+// The position stays, since the store holds nothing new.
 func (c *Catalog) MarkLeaving(life Life) bool {
 	entry, ok := c.targets.entries[life.ID]
 	if !ok || entry.Leaving || entry.Life() != life {
 		return false
 	}
-	entry.Born, entry.Leaving = c.lives.note(life, true)
+	entry.Born, entry.Leaving = c.incarnations.record(life, true)
 	c.targets.entries[life.ID] = entry
 	return true
 }
 
-// CatchUp notes that another gateway knows nothing that is missing here, so that what
-// is believed is as far as its position.
+// CatchUp records that a peer at a position knows nothing that is missing here, and
+// advances the catalog to that position.
 func (c *Catalog) CatchUp(theirs Position) {
 	if theirs.Config == c.version {
 		c.ConfirmConfig(theirs.ConfigRevision)
@@ -226,29 +226,29 @@
 	c.rollouts.catchUp(theirs.Rollouts, theirs.RolloutsChanged)
 }
 
-// believedTargets are targets by id, each as it is believed.
-func (c *Catalog) believedTargets(targets []Target) map[string]Target {
+// resolveTargets returns targets by id, each resolved against the known incarnations.
+func (c *Catalog) resolveTargets(targets []Target) map[string]Target {
 	out := make(map[string]Target, len(targets))
 	for _, t := range targets {
-		if believed, ok := c.believed(t); ok {
-			out[t.ID] = believed
+		if resolved, ok := c.resolve(t); ok {
+			out[t.ID] = resolved
 		}
 	}
 	return out
 }
 
-// believed is a target as it is believed; ok is false where the update is of an earlier life
-// and no later one is in service.
-func (c *Catalog) believed(t Target) (believed Target, ok bool) {
-	if c.lives.isOver(t.Life()) {
-		believed, ok = c.targets.entries[t.ID]
-		return believed, ok
+// resolve resolves an update of a target against its known incarnations. An update about an
+// earlier incarnation yields the known entry; ok is false if there is none.
+func (c *Catalog) resolve(t Target) (resolved Target, ok bool) {
+	if c.incarnations.hasEnded(t.Life()) {
+		resolved, ok = c.targets.entries[t.ID]
+		return resolved, ok
 	}
-	t.Born, t.Leaving = c.lives.note(t.Life(), t.Leaving)
+	t.Born, t.Leaving = c.incarnations.record(t.Life(), t.Leaving)
 	return t, true
 }
 
-// Since makes what a gateway at a position lacks.
+// Since returns the delta that a peer at a position needs.
 func (c *Catalog) Since(at Position) Delta {
 	d := Delta{To: c.Position()}
 	if at.Config < c.version {
@@ -260,14 +260,15 @@
 	return d
 }
 
-// addTargets adds what a gateway lacks that knows the targets up to a revision.
+// addTargets adds the targets that changed since a revision, or all of them if the log does
+// not reach back that far.
 func (c *Catalog) addTargets(d *Delta, from uint64) {
 	if from >= c.targets.known {
 		d.To.Targets = from
 		return
 	}
-	changes, kept := c.targets.since(from)
-	if !kept {
+	changes, complete := c.targets.since(from)
+	if !complete {
 		d.Whole = true
 		for _, t := range c.Targets() {
 			d.Changes = append(d.Changes, Change{Revision: c.targets.known, Target: t})
@@ -279,7 +280,7 @@
 	}
 }
 
-// Merge takes in a delta and says what changed.
+// Merge applies a delta from a peer and reports what changed.
 func (c *Catalog) Merge(d Delta) (changed Changed) {
 	if d.Config != nil {
 		changed.Config = c.SetConfig(d.To.Config, d.Config)
@@ -289,7 +290,7 @@
 		for _, change := range d.Changes {
 			targets = append(targets, change.Target)
 		}
-		changed.Targets = d.To.Targets > c.targets.known && c.replaceTargets(d.To.Targets, c.believedTargets(targets))
+		changed.Targets = d.To.Targets > c.targets.known && c.replaceTargets(d.To.Targets, c.resolveTargets(targets))
 	} else if c.targets.known > 0 {
 		changed.Targets = c.Advance(d.To.Targets, d.Changes)
 	}
--- a/core/gateway/catalog/catalog_test.go
+++ b/core/gateway/catalog/catalog_test.go
@@ -14,11 +14,11 @@
 	return catalog.Target{ID: id, Service: "preview", Address: "10.0.0.1:80", Hall: "a", Slots: 3}
 }
 
-func change(revision uint64, s catalog.Target) catalog.Change {
-	return catalog.Change{Revision: revision, Target: s}
+func change(revision uint64, t catalog.Target) catalog.Change {
+	return catalog.Change{Revision: revision, Target: t}
 }
 
-func TestAGuessServesUntilSomethingIsKnown(t *testing.T) {
+func TestStaleCopyIsUsedUntilTargetsAreRead(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
 	g.Expect(c.HasTargets()).To(BeFalse())
@@ -29,23 +29,25 @@
 	other := catalog.New()
 	other.SetConfig(3, []byte("three"))
 	other.Replace(530, []catalog.Target{target("lives"), target("new")})
-	g.Expect(c.Position().IsBehind(other.Position())).To(BeTrue(), "all that others know")
+	g.Expect(c.Position().IsBehind(other.Position())).To(BeTrue(), "a stale copy does not advance the position")
 	c.Merge(other.Since(c.Position()))
 	g.Expect(c.Targets()).To(ConsistOf(target("lives"), target("new")))
 	changed = c.LoadStale(catalog.StaleCopy{Version: 2, Body: []byte("two"), Targets: []catalog.Target{target("gone")}})
-	g.Expect(changed.Any()).To(BeFalse(), "nothing goes back")
+	g.Expect(changed.Any()).To(BeFalse(), "a stale copy does not replace known state")
 	g.Expect(c.Targets()).To(HaveLen(2))
 }
 
-func TestAGuessThatWasRightIsStillNewsToOthers(t *testing.T) {
+// A first list that equals the stale copy must still count as a change: peers compare
+// positions, and would take themselves for up to date without having any targets.
+func TestFirstListIsAChangeEvenIfItEqualsTheStaleCopy(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
 	c.LoadStale(catalog.StaleCopy{Version: 3, Body: []byte("three"), Targets: []catalog.Target{target("lives")}})
 	g.Expect(c.Replace(530, []catalog.Target{target("lives")})).To(BeTrue())
-	g.Expect(catalog.Position{Config: 3}.IsBehind(c.Position())).To(BeTrue(), "or it would take itself for as far, without any targets")
+	g.Expect(catalog.Position{Config: 3}.IsBehind(c.Position())).To(BeTrue(), "a peer without targets is behind")
 }
 
-func TestAnOlderConfigurationNeverComesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
 	g.Expect(c.SetConfig(7, []byte("seven"))).To(BeTrue())
@@ -54,7 +56,7 @@
 	g.Expect(string(c.Config())).To(Equal("seven"))
 }
 
-func TestATargetThatBeganToLeaveStaysLeaving(t *testing.T) {
+func TestLeavingTargetStaysLeaving(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
 	leaving := target("s")
@@ -67,7 +69,7 @@
 	g.Expect(c.Targets()[0].Leaving).To(BeTrue())
 }
 
-func TestAListThatIsOlderChangesNothing(t *testing.T) {
+func TestOlderTargetListIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
 	c.Replace(5, []catalog.Target{target("new")})
@@ -75,7 +77,7 @@
 	g.Expect(c.Targets()).To(ConsistOf(target("new")))
 }
 
-func TestAReaderBeyondTheKeptChangesGetsTheWholeTable(t *testing.T) {
+func TestPeerBeyondTheChangeLogGetsTheWholeTable(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
 	c.Replace(1, []catalog.Target{target("first")})
@@ -87,9 +89,9 @@
 	g.Expect(c.Since(catalog.Position{Targets: 2990}).Changes).To(HaveLen(9))
 }
 
-// A follower that merges deltas from whichever positions it stood at ends with
-// what the reader believes, and its versions never fall.
-func TestFollowersConverge(t *testing.T) {
+// A follower that merges deltas at any positions converges to the reader's state, and its
+// versions never decrease.
+func TestFollowerConvergesToTheReadersState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, follower := catalog.New(), catalog.New()
 		revision := uint64(0)
@@ -100,7 +102,7 @@
 			s.Leaving = rapid.Bool().Draw(t, "leaving")
 			hall := catalog.Evacuation{Hall: fmt.Sprint("h", rapid.IntRange(0, 2).Draw(t, "hall"))}
 			rollout := catalog.Rollout{Service: fmt.Sprint("r", rapid.IntRange(0, 2).Draw(t, "service")), Revision: revision}
-			switch rapid.IntRange(0, 7).Draw(t, "what") {
+			switch rapid.IntRange(0, 7).Draw(t, "action") {
 			case 0:
 				reader.Replace(revision, []catalog.Target{s})
 			case 1:
@@ -110,20 +112,20 @@
 			case 3:
 				delta := reader.Since(follower.Position())
 				follower.Merge(delta)
-				if rapid.Bool().Draw(t, "again") {
+				if rapid.Bool().Draw(t, "repeated") {
 					follower.Merge(delta)
 				}
 			case 4:
 				reader.ReplaceEvacuations(revision, []catalog.Evacuation{hall})
 			case 5:
-				reader.AdvanceEvacuations(revision, []catalog.EvacuationChange{{Revision: revision, Evacuation: hall, Gone: rapid.Bool().Draw(t, "taken back")}})
+				reader.AdvanceEvacuations(revision, []catalog.EvacuationChange{{Revision: revision, Evacuation: hall, Gone: rapid.Bool().Draw(t, "ended")}})
 			case 6:
 				reader.ReplaceRollouts(revision, []catalog.Rollout{rollout})
 			case 7:
 				reader.AdvanceRollouts(revision, []catalog.RolloutChange{{Revision: revision, Rollout: rollout, Gone: rapid.Bool().Draw(t, "deleted")}})
 			}
 			if follower.Position().Config < before.Config || follower.Position().Targets < before.Targets {
-				t.Fatalf("fell from %+v to %+v", before, follower.Position())
+				t.Fatalf("position went back from %+v to %+v", before, follower.Position())
 			}
 		}
 		follower.Merge(reader.Since(follower.Position()))
@@ -138,11 +140,11 @@
 
 func evacuation(hall string) catalog.Evacuation { return catalog.Evacuation{Hall: hall} }
 
-// Begun, ended and begun again while nobody looked: what the store has counts.
-func TestAnEvacuationEndsAsTheStoreHasIt(t *testing.T) {
+// Evacuations follow the store, also where one began, ended and began again between two reads.
+func TestEvacuationsFollowTheStore(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
-	g.Expect(c.ReplaceEvacuations(5, nil)).To(BeTrue(), "that there are none is knowledge, too")
+	g.Expect(c.ReplaceEvacuations(5, nil)).To(BeTrue(), "an empty list is known state as well")
 	change := func(revision uint64, hall string, gone bool) catalog.EvacuationChange {
 		return catalog.EvacuationChange{Revision: revision, Evacuation: evacuation(hall), Gone: gone}
 	}
@@ -156,38 +158,39 @@
 	g.Expect(c.Position()).To(Equal(catalog.Position{Evacuations: 13, EvacuationsChanged: 12}))
 }
 
-func TestAGatewayThatKnowsNoEvacuationsLacksThatThereAreNone(t *testing.T) {
+func TestEmptyEvacuationListIsSentToAGatewayWithoutAny(t *testing.T) {
 	g := NewWithT(t)
-	knows, not := catalog.New(), catalog.New()
-	knows.ReplaceEvacuations(5, nil)
-	g.Expect(not.Position().IsBehind(knows.Position())).To(BeTrue())
-	g.Expect(not.Merge(knows.Since(not.Position())).Evacuations).To(BeTrue())
-	g.Expect(not.Position()).To(Equal(knows.Position()))
-	g.Expect(knows.Since(not.Position()).IsEmpty()).To(BeTrue())
-	knows.AdvanceEvacuations(8, nil)
-	g.Expect(not.Position().IsBehind(knows.Position())).To(BeFalse())
-	g.Expect(knows.Since(not.Position()).IsEmpty()).To(BeTrue(), "nothing has changed")
+	source, peer := catalog.New(), catalog.New()
+	source.ReplaceEvacuations(5, nil)
+	g.Expect(peer.Position().IsBehind(source.Position())).To(BeTrue())
+	g.Expect(peer.Merge(source.Since(peer.Position())).Evacuations).To(BeTrue())
+	g.Expect(peer.Position()).To(Equal(source.Position()))
+	g.Expect(source.Since(peer.Position()).IsEmpty()).To(BeTrue())
+	source.AdvanceEvacuations(8, nil)
+	g.Expect(peer.Position().IsBehind(source.Position())).To(BeFalse())
+	g.Expect(source.Since(peer.Position()).IsEmpty()).To(BeTrue(), "nothing has changed")
 }
 
-// A position alone, as of a gateway that is too busy to send all, brings no knowledge.
-func TestAPositionAloneIsNoKnowledge(t *testing.T) {
+// A gateway that is too busy to send all its state sends a position without targets. That
+// must not count as having received them.
+func TestPositionWithoutTargetsDoesNotAdvanceThem(t *testing.T) {
 	g := NewWithT(t)
-	knows, not := catalog.New(), catalog.New()
-	knows.Replace(530, []catalog.Target{target("s")})
-	knows.ReplaceEvacuations(530, nil)
-	not.Merge(catalog.Delta{To: knows.Position(), HasEvacuations: true})
-	g.Expect(not.Position()).To(Equal(catalog.Position{Evacuations: 530, EvacuationsChanged: 530}))
-	g.Expect(not.Position().IsBehind(knows.Position())).To(BeTrue())
-	not.CatchUp(knows.Position())
-	g.Expect(not.Position().IsBehind(knows.Position())).To(BeTrue())
+	source, peer := catalog.New(), catalog.New()
+	source.Replace(530, []catalog.Target{target("s")})
+	source.ReplaceEvacuations(530, nil)
+	peer.Merge(catalog.Delta{To: source.Position(), HasEvacuations: true})
+	g.Expect(peer.Position()).To(Equal(catalog.Position{Evacuations: 530, EvacuationsChanged: 530}))
+	g.Expect(peer.Position().IsBehind(source.Position())).To(BeTrue())
+	peer.CatchUp(source.Position())
+	g.Expect(peer.Position().IsBehind(source.Position())).To(BeTrue())
 }
 
-func TestAGuessOfEvacuationsServesUntilSomethingIsKnown(t *testing.T) {
+func TestStaleCopyOfEvacuationsIsUsedUntilTheyAreRead(t *testing.T) {
 	g := NewWithT(t)
 	c := catalog.New()
 	g.Expect(c.LoadStale(catalog.StaleCopy{Evacuations: []catalog.Evacuation{evacuation("a")}}).Evacuations).To(BeTrue())
 	g.Expect(c.IsEvacuated("a")).To(BeTrue())
-	g.Expect(c.Position()).To(Equal(catalog.Position{}), "others may know better")
+	g.Expect(c.Position()).To(Equal(catalog.Position{}), "peers may have newer evacuations")
 	c.ReplaceEvacuations(5, nil)
 	g.Expect(c.IsEvacuated("a")).To(BeFalse())
 	g.Expect(c.LoadStale(catalog.StaleCopy{Evacuations: []catalog.Evacuation{evacuation("a")}}).Any()).To(BeFalse())
--- a/core/gateway/catalog/evacuation.go
+++ b/core/gateway/catalog/evacuation.go
@@ -1,11 +1,10 @@
 package catalog
 
-// Evacuation is an operator's request that nothing more be sent to the targets of a
-// hall.
+// Evacuation is an operator's order to send nothing more to the targets of a hall.
 type Evacuation struct{ Hall string }
 
-// EvacuationChange is one evacuation at one revision of the store; it is gone once the
-// hall is taken back.
+// EvacuationChange is the start or end of one evacuation at one revision of the store; Gone
+// means that the hall is back in service.
 type EvacuationChange struct {
 	Revision   uint64
 	Evacuation Evacuation
@@ -15,32 +14,32 @@
 // Evacuations lists the evacuations by hall.
 func (c *Catalog) Evacuations() []Evacuation { return c.evacuations.list() }
 
-// IsEvacuated says whether a hall is evacuated.
+// IsEvacuated reports whether a hall is evacuated.
 func (c *Catalog) IsEvacuated(hall string) bool {
 	_, evacuated := c.evacuations.entries[hall]
 	return evacuated
 }
 
-// ReplaceEvacuations takes in all evacuations as the store held them at a revision, if that
-// is not older than what is held. Of one that has come back from an older copy it takes in
-// nothing that is not known.
+// ReplaceEvacuations applies the complete list of evacuations as the store held it at a
+// revision, unless that is older than the known one. From a store that was restored from an
+// older copy it adds no evacuation that is unknown here.
 func (c *Catalog) ReplaceEvacuations(revision uint64, evacuations []Evacuation) bool {
 	entries := byHall(evacuations)
-	if c.evacuations.rewound(revision) {
-		entries = c.evacuations.reconcile(entries)
+	if c.evacuations.isRewound(revision) {
+		entries = c.evacuations.mergeOlderCopy(entries)
 	}
 	return c.evacuations.replace(revision, entries)
 }
 
-// AdvanceEvacuations takes in the changes of evacuations up to a revision.
+// AdvanceEvacuations applies the changes of evacuations up to a revision.
 func (c *Catalog) AdvanceEvacuations(revision uint64, changes []EvacuationChange) bool {
-	made := make([]entryChange[Evacuation], 0, len(changes))
+	converted := make([]entryChange[Evacuation], 0, len(changes))
 	for _, change := range changes {
-		made = append(made, entryChange[Evacuation]{
+		converted = append(converted, entryChange[Evacuation]{
 			revision: change.Revision, id: change.Evacuation.Hall, entry: change.Evacuation, gone: change.Gone,
 		})
 	}
-	return c.evacuations.advance(revision, made, func(e Evacuation) (Evacuation, bool) { return e, true })
+	return c.evacuations.advance(revision, converted, func(e Evacuation) (Evacuation, bool) { return e, true })
 }
 
 func byHall(evacuations []Evacuation) map[string]Evacuation {
@@ -51,7 +50,7 @@
 	return out
 }
 
-// addEvacuations adds what a gateway lacks that knows the evacuations up to a revision.
+// addEvacuations adds all evacuations if one of them changed since a revision.
 func (c *Catalog) addEvacuations(d *Delta, from uint64) {
 	if from >= c.evacuations.known {
 		d.To.Evacuations = from
--- a/core/gateway/catalog/rollout.go
+++ b/core/gateway/catalog/rollout.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// RolloutState is how far a rollout has come, as the store has it.
+// RolloutState is the state of a rollout as recorded in the store.
 type RolloutState uint8
 
-// States of a rollout. A gateway of an earlier version sends none, which is
+// States of a rollout. A gateway of an earlier version sends none, which is read as
 // RolloutOrdered.
 const (
-	// RolloutOrdered is that of an order of which nothing was recorded yet: its version
-	// takes no requests.
+	// RolloutOrdered means that the rollout was ordered and no progress is recorded yet:
+	// its version gets no requests.
 	RolloutOrdered RolloutState = iota
-	// RolloutRunning is that of one whose version takes a share of the requests.
+	// RolloutRunning means that its version gets a share of the requests.
 	RolloutRunning
-	// RolloutCompleted and RolloutRolledBack are final: the version takes all requests,
-	// or none any more.
+	// RolloutCompleted and RolloutRolledBack are final: the version gets all requests, or
+	// none any more.
 	RolloutCompleted
 	RolloutRolledBack
 )
 
-// String names a state as log lines and metrics do.
+// String returns the name of a state in log lines and metrics.
 func (s RolloutState) String() string {
 	switch s {
 	case RolloutRunning:
@@ -33,35 +33,36 @@
 	}
 }
 
-// Final says whether a rollout has ended.
+// Final reports whether a rollout has ended.
 func (s RolloutState) Final() bool { return s == RolloutCompleted || s == RolloutRolledBack }
 
 // Rollout is an operator's order to move the requests of a service to the targets of
-// another version, and how far that has come.
+// another version, with its recorded progress.
 type Rollout struct {
 	Service string
-	// Version is the one that is ordered.
+	// Version is the version to move to.
 	Version string
-	// Within is the time in which the order is to be carried out.
+	// Within is the time in which the rollout is to complete.
 	Within time.Duration
-	// Revision is that of the object's last change: what a write is conditional on.
+	// Revision is that of the object's last change; writes are conditional on it.
 	Revision uint64
 	State    RolloutState
-	// Permille is the share of the service's requests that the version takes, in
+	// Permille is the share of the service's requests that the version gets, in
 	// thousandths, while the rollout runs.
 	Permille int
 	// Elapsed is how long after the order State and Permille were recorded, and At
-	// that moment by the clock of who did, in milliseconds since 1970. Clocks of
-	// gateways may differ by seconds.
+	// that moment by the clock of the gateway that recorded them, in milliseconds since
+	// 1970. Clocks of gateways may differ by seconds.
 	Elapsed time.Duration
 	At      int64
 	// Decider is the id of the gateway that recorded them, and Peer the address where it
-	// takes the other gateways' reports.
+	// receives the other gateways' reports.
 	Decider string
 	Peer    string
 }
 
-// RolloutChange is one rollout at one revision of the store.
+// RolloutChange is the addition, update or removal of one rollout at one revision of the
+// store.
 type RolloutChange struct {
 	Revision uint64
 	Rollout  Rollout
@@ -71,29 +72,29 @@
 // Rollouts lists the rollouts by service.
 func (c *Catalog) Rollouts() []Rollout { return c.rollouts.list() }
 
-// Rollout is that of a service.
+// Rollout returns the rollout of a service.
 func (c *Catalog) Rollout(service string) (Rollout, bool) {
 	r, ok := c.rollouts.entries[service]
 	return r, ok
 }
 
-// ReplaceRollouts takes in all rollouts as the store held them at a revision, if that is not
-// older than what is held. Of one that has come back from an older copy it takes in nothing
-// that is not known, and how far a rollout had come stays as it was.
+// ReplaceRollouts applies the complete list of rollouts as the store held it at a revision,
+// unless that is older than the known one. From a store that was restored from an older copy
+// it adds no rollout that is unknown here, and keeps the known progress of the others.
 func (c *Catalog) ReplaceRollouts(revision uint64, rollouts []Rollout) bool {
 	entries := byService(rollouts)
-	if c.rollouts.rewound(revision) {
-		entries = c.rollouts.reconcile(entries)
+	if c.rollouts.isRewound(revision) {
+		entries = c.rollouts.mergeOlderCopy(entries)
 		for service, r := range entries {
-			entries[service] = r.notBefore(c.rollouts.entries[service])
+			entries[service] = r.withProgressOf(c.rollouts.entries[service])
 		}
 	}
 	return c.rollouts.replace(revision, entries)
 }
 
-// notBefore is the rollout as it stood at another time, if that is the same order and had
-// come further; what a write is conditional on stays its own.
-func (r Rollout) notBefore(other Rollout) Rollout {
+// withProgressOf returns the rollout with the progress of another record of it, if that is
+// of the same order and no earlier. Revision stays its own, since writes are conditional on it.
+func (r Rollout) withProgressOf(other Rollout) Rollout {
 	if r.Version != other.Version || r.Within != other.Within || other.Elapsed < r.Elapsed {
 		return r
 	}
@@ -101,18 +102,18 @@
 	return other
 }
 
-// AdvanceRollouts takes in the changes of rollouts up to a revision.
+// AdvanceRollouts applies the changes of rollouts up to a revision.
 func (c *Catalog) AdvanceRollouts(revision uint64, changes []RolloutChange) bool {
-	made := make([]entryChange[Rollout], 0, len(changes))
+	converted := make([]entryChange[Rollout], 0, len(changes))
 	for _, change := range changes {
-		made = append(made, entryChange[Rollout]{
+		converted = append(converted, entryChange[Rollout]{
 			revision: change.Revision, id: change.Rollout.Service, entry: change.Rollout, gone: change.Gone,
 		})
 	}
-	return c.rollouts.advance(revision, made, func(r Rollout) (Rollout, bool) { return r, true })
+	return c.rollouts.advance(revision, converted, func(r Rollout) (Rollout, bool) { return r, true })
 }
 
-// addRollouts adds what a gateway lacks that knows the rollouts up to a revision.
+// addRollouts adds all rollouts if one of them changed since a revision.
 func (c *Catalog) addRollouts(d *Delta, from uint64) {
 	if from >= c.rollouts.known {
 		d.To.Rollouts = from
--- a/core/gateway/catalog/table.go
+++ b/core/gateway/catalog/table.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// keptChanges bounds the changes of a table that are kept for gateways that are
-// behind; one that is further behind is sent all. These are minutes of changes.
-const keptChanges = 1024
+// maxLoggedChanges bounds the log of a table's changes, which serves peers that are
+// behind; a peer that is further behind is sent the whole table. It holds minutes of changes.
+const maxLoggedChanges = 1024
 
-// entryChange is one entry of a table at one revision of the store.
+// entryChange is the addition, update or removal of one entry at one revision of the store.
 type entryChange[E comparable] struct {
 	revision uint64
 	id       string
@@ -17,21 +17,21 @@
 	gone     bool
 }
 
-// table is what is believed of the objects of one kind, by id.
+// table is the known state of the objects of one kind, by id.
 type table[E comparable] struct {
-	// known is the store's revision up to which the entries are known, 0 for never,
-	// and changed that at which one of them last changed.
+	// known is the store's revision up to which the entries are known, 0 if never read,
+	// and changed the revision at which one of them last changed.
 	known   uint64
 	changed uint64
 	entries map[string]E
 	log     []entryChange[E]
-	// keptFrom is the oldest revision of which all later changes are kept.
-	keptFrom uint64
+	// logStart is the oldest revision since which the log has all changes.
+	logStart uint64
 }
 
 func newTable[E comparable]() table[E] { return table[E]{entries: map[string]E{}} }
 
-// list gives the entries by id.
+// list returns the entries ordered by id.
 func (t *table[E]) list() []E {
 	out := make([]E, 0, len(t.entries))
 	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
@@ -40,9 +40,9 @@
 	return out
 }
 
-// guess takes in what was there some time ago, unless something is known. The
-// revisions stay, so that all that others know is still missing.
-func (t *table[E]) guess(entries map[string]E) (changed bool) {
+// loadStale sets the entries to those of a stale copy, unless the table has been read. The
+// revisions stay, so that the table is still behind every peer that has read it.
+func (t *table[E]) loadStale(entries map[string]E) (changed bool) {
 	if t.known > 0 || maps.Equal(t.entries, entries) {
 		return false
 	}
@@ -50,42 +50,42 @@
 	return true
 }
 
-// replace takes in all entries as they stood at a revision, if that is not older than
-// what is held.
+// replace sets the entries to the complete list at a revision, unless that is older than
+// the known one.
 func (t *table[E]) replace(revision uint64, entries map[string]E) (changed bool) {
 	if revision < t.known {
 		return false
 	}
 	if revision == t.known {
-		revision = reread(revision)
+		revision = rereadRevision(revision)
 	}
 	for id, entry := range entries {
-		if was, ok := t.entries[id]; !ok || was != entry {
+		if previous, ok := t.entries[id]; !ok || previous != entry {
 			changed = true
-			t.note(entryChange[E]{revision: revision, id: id, entry: entry})
+			t.appendLog(entryChange[E]{revision: revision, id: id, entry: entry})
 		}
 	}
 	for id, entry := range t.entries {
 		if _, ok := entries[id]; !ok {
 			changed = true
-			t.note(entryChange[E]{revision: revision, id: id, entry: entry, gone: true})
+			t.appendLog(entryChange[E]{revision: revision, id: id, entry: entry, gone: true})
 		}
 	}
 	if first := t.known == 0; first {
-		t.keptFrom = revision
-		changed = true // whatever was guessed: others lack all of it
+		t.logStart = revision
+		changed = true // even if a stale copy was the same: peers lack all of it
 	}
 	t.entries, t.known = entries, revision
 	if changed {
 		t.changed = revision
 	}
-	t.trim()
+	t.trimLog()
 	return changed
 }
 
-// advance takes in the changes up to a revision; believed makes of an entry what is
-// believed of it, and says whether there is one.
-func (t *table[E]) advance(revision uint64, changes []entryChange[E], believed func(E) (E, bool)) (changed bool) {
+// advance applies the changes up to a revision. resolve returns the entry to store for one
+// that was received; false means that it is removed.
+func (t *table[E]) advance(revision uint64, changes []entryChange[E], resolve func(E) (E, bool)) (changed bool) {
 	if revision <= t.known {
 		return false
 	}
@@ -94,7 +94,7 @@
 			continue
 		}
 		if !c.gone {
-			entry, ok := believed(c.entry)
+			entry, ok := resolve(c.entry)
 			c.entry, c.gone = entry, !ok
 		}
 		if c.gone {
@@ -102,17 +102,17 @@
 		} else {
 			t.entries[c.id] = c.entry
 		}
-		t.note(c)
+		t.appendLog(c)
 		t.changed = max(t.changed, c.revision)
 		changed = true
 	}
 	t.known = revision
-	t.trim()
+	t.trimLog()
 	return changed
 }
 
-// catchUp notes that nothing is missing up to the revisions of another table. Of a table
-// that was never read all is missing.
+// catchUp advances to the revisions of a peer's table that has nothing more. A table that was
+// never read lacks everything and stays as it is.
 func (t *table[E]) catchUp(known, changed uint64) {
 	if t.known == 0 {
 		return
@@ -121,17 +121,17 @@
 	t.changed = max(t.changed, changed)
 }
 
-// rewound says whether a revision is of a later life of the store than what is known.
-func (t *table[E]) rewound(revision uint64) bool {
+// isRewound reports whether a revision is from a later epoch of the store than the known one.
+func (t *table[E]) isRewound(revision uint64) bool {
 	return t.known > 0 && StoreLife(revision) > StoreLife(t.known)
 }
 
-// reconcile makes of what a store holds that has come back from an older copy what is to be
-// believed for now. What the copy lacks stays, since it is written again, if it is still true;
-// what the copy has back, and is not known here, waits until all is read again.
-func (t *table[E]) reconcile(copied map[string]E) map[string]E {
+// mergeOlderCopy returns the entries to use for now after the store was restored from an older
+// copy. Entries that the copy lacks stay, since those that still hold are written again.
+// Entries that only the copy has are left out until the list is read again.
+func (t *table[E]) mergeOlderCopy(older map[string]E) map[string]E {
 	out := maps.Clone(t.entries)
-	for id, entry := range copied {
+	for id, entry := range older {
 		if _, known := out[id]; known {
 			out[id] = entry
 		}
@@ -139,18 +139,18 @@
 	return out
 }
 
-func (t *table[E]) note(c entryChange[E]) { t.log = append(t.log, c) }
+func (t *table[E]) appendLog(c entryChange[E]) { t.log = append(t.log, c) }
 
-func (t *table[E]) trim() {
-	if extra := len(t.log) - keptChanges; extra > 0 {
-		t.keptFrom = t.log[extra-1].revision
+func (t *table[E]) trimLog() {
+	if extra := len(t.log) - maxLoggedChanges; extra > 0 {
+		t.logStart = t.log[extra-1].revision
 		t.log = slices.Clone(t.log[extra:])
 	}
 }
 
-// since gives the changes behind a revision; false where not all are kept.
+// since returns the changes after a revision; false if the log does not reach back that far.
 func (t *table[E]) since(revision uint64) ([]entryChange[E], bool) {
-	if revision == 0 || revision < t.keptFrom {
+	if revision == 0 || revision < t.logStart {
 		return nil, false
 	}
 	var out []entryChange[E]
--- a/core/gateway/catalog/target.go
+++ b/core/gateway/catalog/target.go
@@ -5,58 +5,60 @@
 	"net/netip"
 )
 
-// Target is one running target, known by its id and the time of this start of it.
+// Target is one running target, identified by its id and the time of its latest start.
 type Target struct {
 	ID      string
 	Service string
-	// Address is IP number and port.
+	// Address is an IP address and a port.
 	Address string
-	// Hall is where the target stands.
+	// Hall is the hall that the target runs in.
 	Hall string
-	// Version is that of its software; empty if it does not say.
+	// Version is that of its software; empty if not advertised.
 	Version string
-	// Slots is how many requests it works on at once; 0 if it does not say.
+	// Slots is how many requests it works on at once; 0 if not advertised.
 	Slots int
 	// Leaving targets get no new requests.
 	Leaving bool
-	// Cold says that the target was still cold when it last wrote its entry: it is slow
-	// and bears few requests a second for a while.
+	// Cold means that the target was still warming up when it last wrote its entry: it is
+	// slow and handles few requests a second for a while.
 	Cold bool
-	// Born is when it started, in ms of its time of day; 0 if it does not say. One that
-	// starts again may keep its id, and knows nothing of before.
+	// Born is when it started, in Unix milliseconds by its own clock; 0 if not advertised.
+	// A target that restarts may keep its id, and has lost its state.
 	Born int64
 }
 
-// errNoTarget says that something is missing without which nothing can be sent.
-var errNoTarget = errors.New("a target needs an id, a service, a hall and slots")
+// errIncompleteTarget means that a field is missing without which nothing can be sent.
+var errIncompleteTarget = errors.New("a target needs an id, a service, a hall and slots")
 
-// Check says why nothing could be sent to the target, if so.
+// Check returns an error if the entry of a target lacks what is needed to send to it.
 func (t Target) Check() error {
 	if t.ID == "" || t.Service == "" || t.Hall == "" || t.Slots < 1 {
-		return errNoTarget
+		return errIncompleteTarget
 	}
 	_, err := netip.ParseAddrPort(t.Address)
 	return err
 }
 
-// Life names one start of a target. Whatever is learnt of a target, and each connection,
-// belongs to one life: what was learnt of the one before must not count for the next.
+// Life identifies one incarnation of a target, from a start to its end. Each observation of
+// a target, and each connection, belongs to one incarnation: observations of one must not
+// count for the next.
 type Life struct {
 	ID   string
 	Born int64
 }
 
-// Life is the start that a target's entry names.
+// Life returns the incarnation that a target's entry belongs to.
 func (t Target) Life() Life { return Life{ID: t.ID, Born: t.Born} }
 
-// ReportStarts says whether targets report when they started: most do, so that an entry which
-// does not is another writer's. One entry alone can't have all others taken for such.
+// ReportStarts reports whether most of the targets advertise when they started. If they do,
+// an entry without a start was written by somebody else. It takes a majority, so that a
+// single entry can't make all others count as foreign.
 func ReportStarts(targets []Target) bool {
-	told := 0
+	reporting := 0
 	for _, t := range targets {
 		if t.Born > 0 {
-			told++
+			reporting++
 		}
 	}
-	return 2*told > len(targets)
+	return 2*reporting > len(targets)
 }
