--- a/core/gateway/reader/reader_test.go
+++ b/core/gateway/reader/reader_test.go
@@ -15,17 +15,17 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-var timing = reader.Timing{Standby: time.Second, Alone: 1300 * time.Millisecond, Last: 1800 * time.Millisecond}
+var timing = reader.Timing{Standby: time.Second, OthersFrom: 1300 * time.Millisecond, OthersBy: 1800 * time.Millisecond}
 
-func TestUntil(t *testing.T) {
+func TestUntilRead(t *testing.T) {
 	const long = time.Hour
-	knowing := func(change func(*reader.State)) reader.State {
-		s := reader.State{Knows: true, Confirmed: true, Running: long, OutrankedAge: long, HeldFor: long, TriedFor: 100 * long, OfferAge: long}
+	withState := func(change func(*reader.State)) reader.State {
+		s := reader.State{HasState: true, Confirmed: true, Uptime: long, OutrankedAge: long, PendingTriesAge: long, TriesAge: 100 * long, OfferAge: long}
 		change(&s)
 		return s
 	}
-	starting := func(change func(*reader.State)) reader.State {
-		s := reader.State{HeldFor: long, TriedFor: 100 * long, OfferAge: long, Draw: 0.5}
+	withoutState := func(change func(*reader.State)) reader.State {
+		s := reader.State{PendingTriesAge: long, TriesAge: 100 * long, OfferAge: long, Draw: 0.5}
 		change(&s)
 		return s
 	}
@@ -35,41 +35,46 @@
 		state reader.State
 		want  time.Duration
 	}{
-		"knows nothing, nobody found":           {starting(func(s *reader.State) { s.Alone = true }), ms(1300) + half},
-		"knows nothing, early draw":             {starting(func(s *reader.State) { s.Rank = 7; s.Draw = 0 }), ms(1300)},
-		"knows nothing, first of those found":   {starting(func(s *reader.State) { s.Running, s.InCompany = ms(100), ms(100) }), ms(300)},
-		"knows nothing, has just found others":  {starting(func(s *reader.State) { s.Running, s.InCompany = ms(450), ms(50) }), ms(350)},
-		"knows nothing, others turn to it":      {starting(func(s *reader.State) { s.Seed = true }), ms(15)},
-		"knows nothing, another offers":         {starting(func(s *reader.State) { s.Seed = true; s.Running = ms(50); s.OfferAge = ms(100) }), ms(200)},
-		"knows nothing, the offer came to none": {starting(func(s *reader.State) { s.Seed = true; s.Running = ms(15); s.OfferAge = ms(301) }), 0},
-		"knows nothing, is offered for ever":    {starting(func(s *reader.State) { s.Running, s.InCompany = ms(1800), ms(1800); s.OfferAge = 0 }), ms(-1400)},
-		"knows nothing, enough others try":      {starting(func(s *reader.State) { s.Running, s.InCompany = long, long; s.HeldFor = ms(100) }), ms(400) + half},
-		"knows something, has just begun":       {knowing(func(s *reader.State) { s.Running = ms(100) }), ms(300)},
-		"new fleet, has just begun":             {starting(func(s *reader.State) { s.FirstStart = true; s.Running = ms(200) }), time.Second},
-		"the reader":                            {knowing(func(*reader.State) {}), 0},
-		"the reader, but one before it reads":   {knowing(func(s *reader.State) { s.OutrankedAge = ms(10); s.Age = ms(10) }), ms(990)},
-		"the reader, too new to know its rank":  {knowing(func(s *reader.State) { s.Running = ms(2999); s.Age = ms(400) }), ms(600)},
-		"the same, but nobody confirms":         {knowing(func(s *reader.State) { s.Running = ms(2999); s.Age = ms(1000) }), 0},
-		"the same, but it reads":                {knowing(func(s *reader.State) { s.Running = ms(2999); s.Age = ms(400); s.Reads = true }), 0},
-		"the reader of a new fleet":             {reader.State{FirstStart: true, Running: long, OutrankedAge: long}, 0},
-		"a standby":                             {knowing(func(s *reader.State) { s.Rank = 2; s.Age = ms(400) }), ms(600)},
-		"a standby whose knowledge is old":      {knowing(func(s *reader.State) { s.Rank = 1; s.Age = ms(1000); s.HeldFor = 0 }), 0},
-		"another, early draw":                   {knowing(func(s *reader.State) { s.Rank = 3; s.Age = ms(1000) }), ms(300)},
-		"another":                               {knowing(func(s *reader.State) { s.Rank = 3; s.Draw = 0.5; s.Age = ms(1000) }), ms(300) + half},
-		"another, enough others try":            {knowing(func(s *reader.State) { s.Rank = 3; s.Draw = 0.5; s.Age = long; s.HeldFor = ms(200) }), ms(300) + half},
-		"another, enough others failed":         {knowing(func(s *reader.State) { s.Rank = 3; s.Age = ms(1400); s.TriedFor = ms(10) }), ms(50)},
-		"the same, for long":                    {knowing(func(s *reader.State) { s.Rank = 3; s.Age = ms(11300); s.TriedFor = ms(1000) }), ms(3000)},
-		"another, their tries are long ago":     {knowing(func(s *reader.State) { s.Rank = 3; s.Draw = 0.5; s.Age = ms(1300) + half; s.HeldFor = time.Second }), 0},
-		"never confirmed":                       {knowing(func(s *reader.State) { s.Rank = 3; s.Confirmed = false; s.Age = math.MaxInt64 }), ms(500) - long},
-		"a new fleet of which nothing was heard": {
-			reader.State{Rank: 1, FirstStart: true, Running: 2 * time.Second, Age: math.MaxInt64, OutrankedAge: long}, ms(200)},
-		"reads, and its own reading is fresh":     {knowing(func(s *reader.State) { s.Rank = 1; s.Reads = true }), time.Second - long},
-		"reads, and one before it has come back":  {knowing(func(s *reader.State) { s.Rank = 1; s.Reads = true; s.OutrankedAge = 0; s.Age = long }), time.Second},
-		"reads though others are not yet settled": {knowing(func(s *reader.State) { s.Rank = 5; s.Running = ms(399); s.Reads = true }), ms(1)},
+		"no state, no peer found":                          {withoutState(func(s *reader.State) { s.HasNoPeers = true }), ms(1300) + half},
+		"no state, early draw":                             {withoutState(func(s *reader.State) { s.Rank = 7; s.Draw = 0 }), ms(1300)},
+		"no state, first in rank of those found":           {withoutState(func(s *reader.State) { s.Uptime, s.PeersKnownFor = ms(100), ms(100) }), ms(300)},
+		"no state, first peers found recently":             {withoutState(func(s *reader.State) { s.Uptime, s.PeersKnownFor = ms(450), ms(50) }), ms(350)},
+		"no state, a seed":                                 {withoutState(func(s *reader.State) { s.Seed = true }), ms(15)},
+		"no state, a peer offers its state":                {withoutState(func(s *reader.State) { s.Seed = true; s.Uptime = ms(50); s.OfferAge = ms(100) }), ms(200)},
+		"no state, the offer has timed out":                {withoutState(func(s *reader.State) { s.Seed = true; s.Uptime = ms(15); s.OfferAge = ms(301) }), 0},
+		"no state, offers without end":                     {withoutState(func(s *reader.State) { s.Uptime, s.PeersKnownFor = ms(1800), ms(1800); s.OfferAge = 0 }), ms(-1400)},
+		"no state, enough others try":                      {withoutState(func(s *reader.State) { s.Uptime, s.PeersKnownFor = long, long; s.PendingTriesAge = ms(100) }), ms(400) + half},
+		"has state, has just started":                      {withState(func(s *reader.State) { s.Uptime = ms(100) }), ms(300)},
+		"new fleet, has just started":                      {withoutState(func(s *reader.State) { s.FirstStart = true; s.Uptime = ms(200) }), time.Second},
+		"the reader":                                       {withState(func(*reader.State) {}), 0},
+		"the reader, but one of a better rank reads":       {withState(func(s *reader.State) { s.OutrankedAge = ms(10); s.Age = ms(10) }), ms(990)},
+		"the reader, has run too briefly to know its rank": {withState(func(s *reader.State) { s.Uptime = ms(2999); s.Age = ms(400) }), ms(600)},
+		"the same, but its state is not confirmed":         {withState(func(s *reader.State) { s.Uptime = ms(2999); s.Age = ms(1000) }), 0},
+		"the same, but it is reading":                      {withState(func(s *reader.State) { s.Uptime = ms(2999); s.Age = ms(400); s.IsReading = true }), 0},
+		"the reader of a new fleet":                        {reader.State{FirstStart: true, Uptime: long, OutrankedAge: long}, 0},
+		"a standby":                                        {withState(func(s *reader.State) { s.Rank = 2; s.Age = ms(400) }), ms(600)},
+		"a standby whose state is old":                     {withState(func(s *reader.State) { s.Rank = 1; s.Age = ms(1000); s.PendingTriesAge = 0 }), 0},
+		"a follower, early draw":                           {withState(func(s *reader.State) { s.Rank = 3; s.Age = ms(1000) }), ms(300)},
+		"a follower":                                       {withState(func(s *reader.State) { s.Rank = 3; s.Draw = 0.5; s.Age = ms(1000) }), ms(300) + half},
+		"a follower, enough others try":                    {withState(func(s *reader.State) { s.Rank = 3; s.Draw = 0.5; s.Age = long; s.PendingTriesAge = ms(200) }), ms(300) + half},
+		"a follower, enough others failed":                 {withState(func(s *reader.State) { s.Rank = 3; s.Age = ms(1400); s.TriesAge = ms(10) }), ms(50)},
+		"a follower, failures go on for long":              {withState(func(s *reader.State) { s.Rank = 3; s.Age = ms(11300); s.TriesAge = ms(1000) }), ms(3000)},
+		"a follower, the tries of others are long ago": {withState(func(s *reader.State) {
+			s.Rank = 3
+			s.Draw = 0.5
+			s.Age = ms(1300) + half
+			s.PendingTriesAge = time.Second
+		}), 0},
+		"a follower, state never confirmed": {withState(func(s *reader.State) { s.Rank = 3; s.Confirmed = false; s.Age = math.MaxInt64 }), ms(500) - long},
+		"a standby of a new fleet without updates": {
+			reader.State{Rank: 1, FirstStart: true, Uptime: 2 * time.Second, Age: math.MaxInt64, OutrankedAge: long}, ms(200)},
+		"is reading, and no reader of a better rank is":     {withState(func(s *reader.State) { s.Rank = 1; s.IsReading = true }), time.Second - long},
+		"is reading, and a reader of a better rank is back": {withState(func(s *reader.State) { s.Rank = 1; s.IsReading = true; s.OutrankedAge = 0; s.Age = long }), time.Second},
+		"is reading before the settle time is over":         {withState(func(s *reader.State) { s.Rank = 5; s.Uptime = ms(399); s.IsReading = true }), ms(1)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(reader.Until(c.state, timing)).To(BeNumerically("~", c.want, time.Microsecond))
+			g.Expect(reader.UntilRead(c.state, timing)).To(BeNumerically("~", c.want, time.Microsecond))
 		})
 	}
 }
@@ -80,11 +85,11 @@
 		state reader.State
 		want  time.Duration
 	}{
-		"early draw":                      {reader.State{OfferAge: long}, 0},
-		"late draw":                       {reader.State{OfferAge: long, Draw: 0.5, Running: 40 * time.Millisecond}, 185 * time.Millisecond},
-		"another gateway offers":          {reader.State{Running: long, OfferAge: 100 * time.Millisecond}, 200 * time.Millisecond},
-		"the offer has come to nothing":   {reader.State{Running: long, OfferAge: 300 * time.Millisecond}, 0},
-		"others try to read: it is cheap": {reader.State{OfferAge: long, HeldFor: 0}, 0},
+		"early draw":              {reader.State{OfferAge: long}, 0},
+		"late draw":               {reader.State{OfferAge: long, Draw: 0.5, Uptime: 40 * time.Millisecond}, 185 * time.Millisecond},
+		"a peer offers its state": {reader.State{Uptime: long, OfferAge: 100 * time.Millisecond}, 200 * time.Millisecond},
+		"the offer has timed out": {reader.State{Uptime: long, OfferAge: 300 * time.Millisecond}, 0},
+		"tries of others do not delay a stale read": {reader.State{OfferAge: long, PendingTriesAge: 0}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -93,16 +98,16 @@
 	}
 }
 
-// Of however many that fall silent together, few are early, and all are in time.
-func TestFewAreEarlyOfHoweverMany(t *testing.T) {
+// However many gateways stop receiving updates together, few read early, and all within the spread.
+func TestFewGatewaysReadEarlyInAnyFleetSize(t *testing.T) {
 	const (
 		spread = 750 * time.Millisecond
-		hear   = 50 * time.Millisecond // until all have heard of the first
+		notice = 50 * time.Millisecond // until all know of the first
 	)
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct {
 		gateways int
-		most     float64 // on average, that have begun when the first is heard of
+		most     float64 // the average number that have begun when the first is known
 	}{{2, 2}, {30, 2.5}, {473, 2.5}, {2072, 4}} {
 		t.Run(strconv.Itoa(c.gateways), func(t *testing.T) {
 			g := NewWithT(t)
@@ -116,7 +121,7 @@
 				first := slices.Min(delays)
 				for _, d := range delays {
 					g.Expect(d).To(And(BeNumerically(">=", 0), BeNumerically("<=", spread)))
-					if d < first+hear {
+					if d < first+notice {
 						early++
 					}
 				}
@@ -127,80 +132,80 @@
 	}
 }
 
-func TestTriesArePublishedOnceAndHoldOthersBack(t *testing.T) {
+func TestTriesAreAddedOnceAndHoldOthersBack(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	var tries reader.Tries
 	g.Expect(tries.Published(now)).To(BeEmpty())
-	g.Expect(tries.Note(now, reader.Try{ID: "a", Number: 1})).To(BeTrue())
-	g.Expect(tries.Note(now.Add(ms(900)), reader.Try{ID: "a", Number: 1})).To(BeFalse(), "the same, by a long way")
+	g.Expect(tries.Add(now, reader.Try{ID: "a", Number: 1})).To(BeTrue())
+	g.Expect(tries.Add(now.Add(ms(900)), reader.Try{ID: "a", Number: 1})).To(BeFalse(), "the same try, received late")
 	g.Expect(tries.Published(now)).To(Equal([]reader.Try{{ID: "a", Number: 1}}))
-	g.Expect(tries.Note(now, reader.Try{ID: "a", Number: 1, Failed: true})).To(BeTrue(), "that it failed is news")
-	g.Expect(tries.Lacking(now, []reader.Try{{ID: "a", Number: 1}})).To(BeTrue())
-	g.Expect(tries.Note(now, reader.Try{ID: "a", Number: 1, Failed: true})).To(BeFalse(), "known")
-	g.Expect(tries.Note(now, reader.Try{ID: "a", Number: 1})).To(BeFalse(), "never taken back")
+	g.Expect(tries.Add(now, reader.Try{ID: "a", Number: 1, Failed: true})).To(BeTrue(), "its failure was unknown")
+	g.Expect(tries.AnyMissingIn(now, []reader.Try{{ID: "a", Number: 1}})).To(BeTrue())
+	g.Expect(tries.Add(now, reader.Try{ID: "a", Number: 1, Failed: true})).To(BeFalse(), "its failure is known")
+	g.Expect(tries.Add(now, reader.Try{ID: "a", Number: 1})).To(BeFalse(), "a failure is not reverted")
 	g.Expect(tries.Published(now)).To(Equal([]reader.Try{{ID: "a", Number: 1, Failed: true}}))
-	g.Expect(tries.Note(now, reader.Try{ID: "a", Number: 0})).To(BeFalse(), "an earlier one")
-	g.Expect(tries.Lacking(now, nil)).To(BeTrue())
-	g.Expect(tries.Lacking(now, tries.Published(now))).To(BeFalse())
-	tries.Note(now, reader.Try{ID: "self", Number: 2})
-	tries.Note(now, reader.Try{ID: "b", Number: 3, Ago: ms(10)})
-	g.Expect(tries.HeldFor(now, "self")).To(BeNumerically(">", time.Hour), "two others are not enough")
+	g.Expect(tries.Add(now, reader.Try{ID: "a", Number: 0})).To(BeFalse(), "an earlier try")
+	g.Expect(tries.AnyMissingIn(now, nil)).To(BeTrue())
+	g.Expect(tries.AnyMissingIn(now, tries.Published(now))).To(BeFalse())
+	tries.Add(now, reader.Try{ID: "self", Number: 2})
+	tries.Add(now, reader.Try{ID: "b", Number: 3, Ago: ms(10)})
+	g.Expect(tries.PendingAge(now, "self")).To(BeNumerically(">", time.Hour), "two others are not enough")
 	version := tries.Version()
-	tries.Note(now, reader.Try{ID: "c", Number: 4, Ago: ms(5)})
+	tries.Add(now, reader.Try{ID: "c", Number: 4, Ago: ms(5)})
 	g.Expect(tries.Version()).NotTo(Equal(version))
-	g.Expect(tries.TriedFor(now.Add(ms(100)), "self")).To(Equal(ms(110)), "since the third of them began")
-	g.Expect(tries.HeldFor(now.Add(ms(100)), "self")).To(BeNumerically(">", time.Hour), "one of them has failed")
-	tries.Note(now, reader.Try{ID: "d", Number: 5, Ago: ms(5)})
-	g.Expect(tries.HeldFor(now.Add(ms(100)), "self")).To(Equal(ms(110)), "since the third began that may succeed")
-	tries.Note(now, reader.Try{ID: "e", Number: 6, Ago: ms(5)})
-	g.Expect(tries.Note(now, reader.Try{ID: "old", Number: -1})).To(BeFalse(), "there are enough later ones")
-	g.Expect(tries.Note(now.Add(time.Second), reader.Try{ID: "a", Number: 9})).To(BeTrue(), "again")
+	g.Expect(tries.Age(now.Add(ms(100)), "self")).To(Equal(ms(110)), "since the third try began")
+	g.Expect(tries.PendingAge(now.Add(ms(100)), "self")).To(BeNumerically(">", time.Hour), "one of them has failed")
+	tries.Add(now, reader.Try{ID: "d", Number: 5, Ago: ms(5)})
+	g.Expect(tries.PendingAge(now.Add(ms(100)), "self")).To(Equal(ms(110)), "since the third try that may succeed began")
+	tries.Add(now, reader.Try{ID: "e", Number: 6, Ago: ms(5)})
+	g.Expect(tries.Add(now, reader.Try{ID: "old", Number: -1})).To(BeFalse(), "there are maxTries later ones")
+	g.Expect(tries.Add(now.Add(time.Second), reader.Try{ID: "a", Number: 9})).To(BeTrue(), "another try of the same gateway")
 	g.Expect(tries.Published(now.Add(time.Second))[0]).To(Equal(reader.Try{ID: "a", Number: 9}))
 	g.Expect(tries.Published(now.Add(time.Minute))).To(BeEmpty())
-	g.Expect(tries.Lacking(now.Add(1999*time.Millisecond), nil)).To(BeTrue())
-	g.Expect(tries.Lacking(now.Add(2001*time.Millisecond), nil)).To(BeFalse(), "no longer news")
+	g.Expect(tries.AnyMissingIn(now.Add(1999*time.Millisecond), nil)).To(BeTrue())
+	g.Expect(tries.AnyMissingIn(now.Add(2001*time.Millisecond), nil)).To(BeFalse(), "too old to be sent at once")
 	late := now.Add(3500 * time.Millisecond)
 	g.Expect(tries.Published(late)).To(BeEmpty())
-	g.Expect(tries.Note(late, reader.Try{ID: "a", Number: 9, Ago: 1999 * time.Millisecond})).To(BeFalse(),
-		"word of it that was late is no news, or two gateways go on for ever")
+	g.Expect(tries.Add(late, reader.Try{ID: "a", Number: 9, Ago: 1999 * time.Millisecond})).To(BeFalse(),
+		"a late update about a known try is not new, or two gateways would exchange it without end")
 }
 
-// Two gateways that swap tries come to an end, in whatever order and however late they
-// heard of them.
-func TestTwoGatewaysSoonAgreeOnTries(t *testing.T) {
+// The exchange of tries between two gateways terminates, in whatever order and however late
+// they received them.
+func TestExchangeOfTriesTerminates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		var one, other reader.Tries
 		for _, tries := range []*reader.Tries{&one, &other} {
 			for range rapid.IntRange(0, 9).Draw(t, "tries") {
-				tries.Note(now, reader.Try{
+				tries.Add(now, reader.Try{
 					ID: rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}).Draw(t, "id"), Number: rapid.Int64Range(0, 9).Draw(t, "number"),
 					Ago: time.Duration(rapid.IntRange(0, 1500).Draw(t, "ago")) * time.Millisecond,
 				})
 			}
 		}
-		for _, told := range one.Published(now) {
-			other.Note(now, told)
+		for _, try := range one.Published(now) {
+			other.Add(now, try)
 		}
-		for _, told := range other.Published(now) {
-			one.Note(now, told)
+		for _, try := range other.Published(now) {
+			one.Add(now, try)
 		}
-		if one.Lacking(now, other.Published(now)) || other.Lacking(now, one.Published(now)) {
-			t.Fatalf("%v and %v go on", one.Published(now), other.Published(now))
+		if one.AnyMissingIn(now, other.Published(now)) || other.AnyMissingIn(now, one.Published(now)) {
+			t.Fatalf("%v and %v still differ", one.Published(now), other.Published(now))
 		}
 	})
 }
 
-func TestTargetsAreReadLaterByFollowersAfterAnOutage(t *testing.T) {
+func TestRestoreDelayIsLongerForFollowers(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(reader.RestoreDelay(0, 2*time.Second)).To(Equal(2 * time.Second))
 	g.Expect(reader.RestoreDelay(1, 2*time.Second)).To(Equal(2500 * time.Millisecond))
 }
 
 func ExampleUntil() {
-	standby := reader.State{Rank: 1, Knows: true, Confirmed: true, Running: time.Minute, Age: 1200 * time.Millisecond}
-	fmt.Println(reader.Until(standby, timing) <= 0)
+	standby := reader.State{Rank: 1, HasState: true, Confirmed: true, Uptime: time.Minute, Age: 1200 * time.Millisecond}
+	fmt.Println(reader.UntilRead(standby, timing) <= 0)
 	// Output: true
 }
--- a/core/gateway/reader/tries.go
+++ b/core/gateway/reader/tries.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// enoughTries is how many gateways at once try to read the store for all that can
-	// learn of them. Where all of them are turned away, others follow.
-	enoughTries = 3
-	// tryHold is for how long such a try holds others back. A read of all
-	// targets takes a tenth of a second, and what it finds is everywhere soon after.
-	tryHold = 500 * time.Millisecond
-	// keptTries is how many tries are remembered and reported. They are sent for toldFor,
-	// until nobody is held back by one any more, and are news to a gateway that has not
-	// learnt of them for newsFor. They are remembered for far longer: one that is
-	// forgotten as soon as it is no longer reported is news again when it is sent by a
-	// gateway that learnt of it a moment later. Fleets went on exchanging such tries
-	// without an end, on some runs of this package's users' tests.
-	keptTries   = 2 * enoughTries
-	toldFor     = 2 * time.Second
-	newsFor     = toldFor / 2
-	rememberFor = 5 * toldFor
+	// maxConcurrentTries is how many gateways at once try to read the store on behalf of
+	// those that know of the tries. If all of them are turned away, others follow.
+	maxConcurrentTries = 3
+	// pendingTryHold is for how long such a try holds others back. A read of all targets
+	// takes a tenth of a second, and its result reaches the whole fleet soon after.
+	pendingTryHold = 500 * time.Millisecond
+	// maxTries is how many tries are remembered and sent. They are sent for publishFor,
+	// until no gateway is held back by one any more, and a gateway that does not know one is
+	// sent it at once for spreadFor. They are remembered for far longer: a try that is
+	// forgotten as soon as it is no longer sent counts as new again when it is sent by a
+	// gateway that received it a moment later. Fleets exchanged such tries without end in
+	// some runs of the tests of this package's users.
+	maxTries    = 2 * maxConcurrentTries
+	publishFor  = 2 * time.Second
+	spreadFor   = publishFor / 2
+	rememberFor = 5 * publishFor
 )
 
-// Try is an attempt of a gateway to read the store on behalf of all that have grown
-// out of date, as gateways exchange it by net/rpc.
+// Try is an attempt of a gateway to read the store on behalf of all whose state is out of
+// date. Gateways send it to each other by net/rpc.
 type Try struct {
-	// ID is the gateway's, and Number greater for each of its tries: the time of day
-	// when it began, in nanoseconds by its own clock. It orders the tries of all alike
-	// everywhere, however long updates of them were on their way.
+	// ID is the gateway's, and Number increases with each of its tries: the time when the
+	// try began, in Unix nanoseconds by the gateway's own clock. It gives the tries of all
+	// gateways the same order everywhere, however long updates about them are in transit.
 	ID     string
 	Number int64
 	// Ago is how long ago it began.
 	Ago time.Duration
-	// Failed says that the call did not succeed.
+	// Failed means that the call to the store failed.
 	Failed bool
 }
 
@@ -46,99 +46,99 @@
 	failed bool
 }
 
-// Tries are the latest attempts to read the store that a gateway has learnt of, its own
-// among them. The zero value has none.
+// Tries holds the latest known attempts of all gateways to read the store, including this
+// one's. The zero value is empty.
 type Tries struct {
-	kept    []try // one a gateway, the latest first
+	latest  []try // one per gateway, the latest first
 	version int
 }
 
-// Version changes with each new try that is noted.
+// Version returns a number that changes with each new try and each newly known failure.
 func (t *Tries) Version() int { return t.version }
 
-// Note takes in a try and says whether it is a new one.
-func (t *Tries) Note(now time.Time, told Try) (isNew bool) {
-	if told.Ago >= toldFor {
+// Add adds a try and reports whether it, or its failure, was unknown.
+func (t *Tries) Add(now time.Time, reported Try) (isNew bool) {
+	if reported.Ago >= publishFor {
 		return false
 	}
-	heard := try{id: told.ID, number: told.Number, at: now.Add(-told.Ago), failed: told.Failed}
-	i := slices.IndexFunc(t.kept, func(k try) bool { return k.id == told.ID })
+	received := try{id: reported.ID, number: reported.Number, at: now.Add(-reported.Ago), failed: reported.Failed}
+	i := slices.IndexFunc(t.latest, func(known try) bool { return known.id == reported.ID })
 	switch {
-	case i >= 0 && t.kept[i].number == told.Number:
-		return t.noteFailed(i, told.Failed)
-	case i >= 0 && t.kept[i].number > told.Number:
+	case i >= 0 && t.latest[i].number == reported.Number:
+		return t.markFailed(i, reported.Failed)
+	case i >= 0 && t.latest[i].number > reported.Number:
 		return false
 	case i >= 0:
-		t.kept[i] = heard
+		t.latest[i] = received
 	default:
-		t.kept = append(t.kept, heard)
+		t.latest = append(t.latest, received)
 	}
 	t.trim(now)
-	if isNew = slices.Contains(t.kept, heard); isNew {
+	if isNew = slices.Contains(t.latest, received); isNew {
 		t.version++
 	}
 	return isNew
 }
 
-// noteFailed takes in how a try that is known ended, and says whether that is new.
-func (t *Tries) noteFailed(i int, failed bool) (isNew bool) {
-	if !failed || t.kept[i].failed {
+// markFailed marks a known try as failed if it has, and reports whether that was unknown.
+func (t *Tries) markFailed(i int, failed bool) (isNew bool) {
+	if !failed || t.latest[i].failed {
 		return false
 	}
-	t.kept[i].failed = true
+	t.latest[i].failed = true
 	t.version++
 	return true
 }
 
-// trim forgets tries that are long past, and all but the latest.
+// trim drops tries older than rememberFor, and all but the latest maxTries.
 func (t *Tries) trim(now time.Time) {
-	t.kept = slices.DeleteFunc(t.kept, func(k try) bool { return now.Sub(k.at) >= rememberFor })
-	slices.SortFunc(t.kept, func(a, b try) int {
+	t.latest = slices.DeleteFunc(t.latest, func(known try) bool { return now.Sub(known.at) >= rememberFor })
+	slices.SortFunc(t.latest, func(a, b try) int {
 		return cmp.Or(cmp.Compare(b.number, a.number), cmp.Compare(a.id, b.id))
 	})
-	t.kept = t.kept[:min(keptTries, len(t.kept))]
+	t.latest = t.latest[:min(maxTries, len(t.latest))]
 }
 
-// Published are the tries that other gateways are sent.
+// Published returns the tries to send to other gateways.
 func (t *Tries) Published(now time.Time) []Try {
 	var out []Try
-	for _, k := range t.kept {
-		if ago := now.Sub(k.at); ago < toldFor {
-			out = append(out, Try{ID: k.id, Number: k.number, Ago: ago, Failed: k.failed})
+	for _, known := range t.latest {
+		if ago := now.Sub(known.at); ago < publishFor {
+			out = append(out, Try{ID: known.id, Number: known.number, Ago: ago, Failed: known.failed})
 		}
 	}
 	return out
 }
 
-// Lacking says whether there is a try, or that one failed, that is missing in what
-// another gateway reported.
-func (t *Tries) Lacking(now time.Time, told []Try) bool {
-	return slices.ContainsFunc(t.kept, func(k try) bool {
-		known := slices.ContainsFunc(told, func(other Try) bool {
-			same := other.Number == k.number && (other.Failed || !k.failed)
-			return other.ID == k.id && (other.Number > k.number || same)
+// AnyMissingIn reports whether a recent try, or its failure, is missing in those that another
+// gateway reported.
+func (t *Tries) AnyMissingIn(now time.Time, reported []Try) bool {
+	return slices.ContainsFunc(t.latest, func(known try) bool {
+		included := slices.ContainsFunc(reported, func(other Try) bool {
+			same := other.Number == known.number && (other.Failed || !known.failed)
+			return other.ID == known.id && (other.Number > known.number || same)
 		})
-		return !known && now.Sub(k.at) < newsFor
+		return !included && now.Sub(known.at) < spreadFor
 	})
 }
 
-// HeldFor is how long ago as many other gateways as are enough had begun their latest
-// tries, of those that may still succeed; long if there are not so many.
-func (t *Tries) HeldFor(now time.Time, self string) time.Duration {
-	return t.begunBy(now, func(k try) bool { return k.id != self && !k.failed })
+// PendingAge returns how long ago maxConcurrentTries other gateways had begun their latest
+// tries, of those that may still succeed; never if there are fewer.
+func (t *Tries) PendingAge(now time.Time, self string) time.Duration {
+	return t.ageOfEnough(now, func(known try) bool { return known.id != self && !known.failed })
 }
 
-// TriedFor is the same of all tries, also of those that are known to have failed.
-func (t *Tries) TriedFor(now time.Time, self string) time.Duration {
-	return t.begunBy(now, func(k try) bool { return k.id != self })
+// Age returns the same for all tries, including those that are known to have failed.
+func (t *Tries) Age(now time.Time, self string) time.Duration {
+	return t.ageOfEnough(now, func(known try) bool { return known.id != self })
 }
 
-// begunBy is how long ago as many as are enough of the tries that count had begun.
-func (t *Tries) begunBy(now time.Time, counts func(k try) bool) time.Duration {
-	others := slices.DeleteFunc(slices.Clone(t.kept), func(k try) bool { return !counts(k) })
-	if len(others) < enoughTries {
+// ageOfEnough returns how long ago maxConcurrentTries of the tries that count had begun.
+func (t *Tries) ageOfEnough(now time.Time, counts func(known try) bool) time.Duration {
+	others := slices.DeleteFunc(slices.Clone(t.latest), func(known try) bool { return !counts(known) })
+	if len(others) < maxConcurrentTries {
 		return never
 	}
 	slices.SortFunc(others, func(a, b try) int { return b.at.Compare(a.at) })
-	return now.Sub(others[enoughTries-1].at)
+	return now.Sub(others[maxConcurrentTries-1].at)
 }
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -129,7 +129,7 @@
 func (f *Follower) noteTries(now time.Time, tries []reader.Try) {
 	news := false
 	for _, try := range tries {
-		news = f.tries.Note(now, try) || news
+		news = f.tries.Add(now, try) || news
 		if try.Failed {
 			f.fresh.NoteFailed(now.Add(-try.Ago))
 		}
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -175,7 +175,7 @@
 		f.options.Metrics.StoreCall(w.name, callFailed)
 		f.setFailing(w, err)
 		f.tried.Failed = true
-		if f.tries.Note(now, f.tried) {
+		if f.tries.Add(now, f.tried) {
 			f.wake() // others need not wait for this one
 		}
 		f.fresh.NoteFailed(now)
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -39,8 +39,8 @@
 // untilReading is how long the reading does not fall to this gateway; the lock is
 // held.
 func (f *Follower) untilReading(now time.Time) time.Duration {
-	return reader.Until(f.readerState(now), reader.Timing{
-		Standby: f.options.Timing.SilentAfter, Alone: f.options.Timing.AloneAfter, Last: f.options.Timing.LastAfter,
+	return reader.UntilRead(f.readerState(now), reader.Timing{
+		Standby: f.options.Timing.SilentAfter, OthersFrom: f.options.Timing.AloneAfter, OthersBy: f.options.Timing.LastAfter,
 	})
 }
 
@@ -49,11 +49,11 @@
 	self := f.options.Self
 	return reader.State{
 		Rank: f.rank(now), Draw: f.draw, FirstStart: f.options.FirstStart,
-		Seed: slices.Contains(f.options.Seeds(), self.Peer), Alone: f.view.Alone(now), Running: now.Sub(f.started),
-		InCompany: f.inCompany(now),
-		Knows:     f.knows(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.offered), Age: f.fresh.Age(now),
-		Reads: f.reads && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
-		HeldFor: f.tries.HeldFor(now, self.ID), TriedFor: f.tries.TriedFor(now, self.ID),
+		Seed: slices.Contains(f.options.Seeds(), self.Peer), HasNoPeers: f.view.Alone(now), Uptime: now.Sub(f.started),
+		PeersKnownFor: f.inCompany(now),
+		HasState:      f.knows(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.offered), Age: f.fresh.Age(now),
+		IsReading: f.reads && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
+		PendingTriesAge: f.tries.PendingAge(now, self.ID), TriesAge: f.tries.Age(now, self.ID),
 	}
 }
 
@@ -72,7 +72,7 @@
 // it wait; the lock is held.
 func (f *Follower) noteTry(now time.Time) {
 	f.tried = reader.Try{ID: f.options.Self.ID, Number: now.UnixNano()}
-	if f.tries.Note(now, f.tried) {
+	if f.tries.Add(now, f.tried) {
 		f.wake()
 	}
 }
