--- a/core/gateway/placement/contention.go
+++ b/core/gateway/placement/contention.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// contentionMemory is how long a request that found no target counts:
-// some rounds of probes.
-const contentionMemory = 500 * time.Millisecond
+// contentionWindow is how long a request that found no target counts as contention: a few
+// rounds of probes.
+const contentionWindow = 500 * time.Millisecond
 
-// Contention remembers which requests of a service lately found no target. It is
-// not safe for concurrent use.
+// Contention records which priorities of a service's requests recently found no target.
+// It is not safe for concurrent use.
 type Contention struct {
-	waited map[int]time.Time // when one last did, by the route's priority
+	blocked map[int]time.Time // time of the latest such request, by the route's priority
 }
 
-// NewContention makes one that remembers none.
-func NewContention() *Contention { return &Contention{waited: map[int]time.Time{}} }
+// NewContention returns a Contention with nothing recorded.
+func NewContention() *Contention { return &Contention{blocked: map[int]time.Time{}} }
 
-// Waited notes that a request of a priority, 0 the most urgent, found no target.
-func (c *Contention) Waited(now time.Time, priority int) { c.waited[priority] = now }
+// RecordUnplaced records that a request of the given priority (0 is the most urgent)
+// found no target.
+func (c *Contention) RecordUnplaced(now time.Time, priority int) { c.blocked[priority] = now }
 
-// Yields says whether a request should leave the last slot of a target to more
-// urgent ones, since such have lately found no target.
-func (c *Contention) Yields(now time.Time, priority int) bool {
-	for other, at := range c.waited {
-		if other < priority && now.Sub(at) < contentionMemory {
+// ShouldYield reports whether a request should leave the last slot of a target to more
+// urgent requests, because some of these recently found no target.
+func (c *Contention) ShouldYield(now time.Time, priority int) bool {
+	for blockedPriority, at := range c.blocked {
+		if blockedPriority < priority && now.Sub(at) < contentionWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// Contended says whether any request has lately found no target.
+// Contended reports whether any request recently found no target.
 func (c *Contention) Contended(now time.Time) bool {
-	for _, at := range c.waited {
-		if now.Sub(at) < contentionMemory {
+	for _, at := range c.blocked {
+		if now.Sub(at) < contentionWindow {
 			return true
 		}
 	}
--- a/core/gateway/placement/order.go
+++ b/core/gateway/placement/order.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	// lostShare is the share of the targets that another region has on average below
-	// which the own region has lost most of its own, so that other regions are asked,
-	// too. Such a region can take little from the others, and a region that is
-	// merely full never asks them (docs/design/regions.md).
-	lostShare = 1.0 / 3
-	// sameTrip is by how much the time there and back of two regions may differ for
-	// both to count as equally far, so that no region takes all.
-	sameTrip = 10 * time.Millisecond
+	// minRegionShare is the share of another region's average number of targets below
+	// which the own region counts as having lost most of its targets, so that other
+	// regions are probed as well. A region this small adds little load to the others; a
+	// region that is merely full never sends to them (docs/design/regions.md).
+	minRegionShare = 1.0 / 3
+	// roundTripTolerance is the difference in round-trip time up to which two regions
+	// count as equally far, so that one region does not receive all the requests.
+	roundTripTolerance = 10 * time.Millisecond
 )
 
-// Filter is what Order goes by.
+// Filter holds the conditions by which NewOrder selects and sorts targets.
 type Filter struct {
-	// Tier is how far a hall is.
+	// Tier returns how far a hall is.
 	Tier func(hall string) locality.Tier
-	// Region names where a hall in another region stands, and Trip is the time there
-	// and back to it; ok is false if that was never measured. Region is asked only where
-	// there are targets of other regions, Trip only where these are used.
-	Region func(hall string) string
-	Trip   func(hall string) (d time.Duration, ok bool)
-	// Avoid are the targets that had the request already.
+	// Region returns the region of a hall in another region, and RoundTrip the round-trip
+	// time to it; ok is false if that was never measured. Region is called only if there
+	// are targets in other regions, RoundTrip only if these are used.
+	Region    func(hall string) string
+	RoundTrip func(hall string) (d time.Duration, ok bool)
+	// Avoid lists the targets that already received the request.
 	Avoid []catalog.Life
-	// Closed says whether a target takes nothing for now by what it said of itself: it asked for
-	// back-off, or has no credit by the limit that it names; nil where all take requests. Closed
-	// targets are not probed either.
-	Closed func(life catalog.Life) bool
-	// Ejected says whether a target gets no requests now, and Cold counts the cold ones among
-	// some targets, which take next to none.
+	// Unavailable reports whether a target accepts no requests for now according to what
+	// it advertised: it asked for back-off, or has no credit left under its limit. Nil
+	// means that all accept requests. Unavailable targets are not probed either.
+	Unavailable func(life catalog.Life) bool
+	// Ejected reports whether a target is ejected and gets no requests now. Cold counts
+	// the cold targets in a list; these accept very few requests.
 	Ejected func(life catalog.Life) bool
 	Cold    func(targets []catalog.Target) int
-	// Connected says whether there is an idle connection to a target, which saves
-	// it the time of a new one; nil takes no account of that, so that a gateway
-	// goes on finding new targets.
+	// Connected reports whether there is an idle connection to a target, which saves it
+	// the cost of a new one. Nil ignores connections, so that a gateway keeps discovering
+	// new targets.
 	Connected func(life catalog.Life) bool
 }
 
 // Reach says whether targets of other regions are used, and why.
 type Reach int
 
-// The reaches.
+// The values of Reach.
 const (
 	// OwnRegionOnly: the own region has enough targets; no others are used.
 	OwnRegionOnly Reach = iota
-	// FewInRegion: the own region has lost most of its targets, or most are cold; others
-	// are used, too.
+	// FewInRegion: the own region has lost most of its targets, or most of them are cold;
+	// other regions are used as well.
 	FewInRegion
-	// NoneInRegion: no target of the own region takes requests.
+	// NoneInRegion: no target of the own region accepts requests.
 	NoneInRegion
 )
 
-// String is how log lines name it.
+// String returns the name used in log lines.
 func (r Reach) String() string {
 	switch r {
 	case OwnRegionOnly:
@@ -70,24 +70,26 @@
 	}
 }
 
-// Order is the order in which the targets of one round are probed. It is made of the
-// targets that it is given, so that a part of a service's targets can be ordered alone.
+// Order is the order in which the targets of one round are probed. It is built only from
+// the targets passed to NewOrder, so that a subset of a service's targets can be ordered
+// separately.
 type Order struct {
 	tiers [locality.OtherRegion + 1][]catalog.Target
 	reach Reach
 }
 
-// NewOrder draws it: targets of the own hall first, connected ones before others, then
-// those of the own region, then, where it has none or has lost most, those of other
-// regions by the time there and back; else at random. Ejected targets are left out
-// unless there are no others. shuffle is as rand.Shuffle.
+// NewOrder sorts targets into tiers: the own hall first, with connected targets ahead of
+// others; then the own region; then, if the own region has no targets or has lost most of
+// them, other regions by round-trip time. Within these rules the order is random. Ejected
+// targets are left out unless there are no others. shuffle has the contract of
+// rand.Shuffle.
 func NewOrder(targets []catalog.Target, f Filter, shuffle func(n int, swap func(i, j int))) *Order {
 	var o Order
 	var ejected []catalog.Target
 	for _, t := range targets {
 		switch {
 		case slices.Contains(f.Avoid, t.Life()):
-		case f.Closed != nil && f.Closed(t.Life()):
+		case f.Unavailable != nil && f.Unavailable(t.Life()):
 		case f.Ejected(t.Life()):
 			ejected = append(ejected, t)
 		default:
@@ -96,9 +98,9 @@
 		}
 	}
 	if o.count() == 0 {
-		o.takeEjected(ejected, f)
+		o.addEjected(ejected, f)
 	}
-	o.limit(f)
+	o.limitRegions(f)
 	for _, tier := range o.tiers {
 		shuffle(len(tier), func(i, j int) { tier[i], tier[j] = tier[j], tier[i] })
 	}
@@ -106,20 +108,20 @@
 		connectedFirst(o.tiers[locality.OwnHall], f.Connected)
 	}
 	if o.reach != OwnRegionOnly {
-		nearestFirst(o.tiers[locality.OtherRegion], f.Trip)
+		nearestFirst(o.tiers[locality.OtherRegion], f.RoundTrip)
 	}
 	return &o
 }
 
-// Reach says whether targets of other regions are used.
+// Reach returns whether targets of other regions are used, and why.
 func (o *Order) Reach() Reach { return o.reach }
 
-// Near are the targets of the own hall and, after them, of the own region.
+// Near returns the targets of the own hall followed by those of the own region.
 func (o *Order) Near() []catalog.Target {
 	return append(slices.Clone(o.tiers[locality.OwnHall]), o.tiers[locality.OwnRegion]...)
 }
 
-// Far are the targets of other regions that are used.
+// Far returns the targets of other regions that are used.
 func (o *Order) Far() []catalog.Target { return o.tiers[locality.OtherRegion] }
 
 func (o *Order) count() (n int) {
@@ -129,17 +131,19 @@
 	return n
 }
 
-// takeEjected uses the targets that failed, none before another for its hall.
-func (o *Order) takeEjected(ejected []catalog.Target, f Filter) {
+// addEjected adds the targets that failed, with those of the own hall ranked equal to
+// those of the own region.
+func (o *Order) addEjected(ejected []catalog.Target, f Filter) {
 	for _, t := range ejected {
 		tier := max(f.Tier(t.Hall), locality.OwnRegion)
 		o.tiers[tier] = append(o.tiers[tier], t)
 	}
 }
 
-// limit leaves other regions out unless the own one has lost most of its targets. Cold
-// ones don't count: a region whose targets all come back at once takes few requests yet.
-func (o *Order) limit(f Filter) {
+// limitRegions removes other regions unless the own one has lost most of its targets.
+// Cold targets don't count: a region whose targets all restart at once can take few
+// requests yet.
+func (o *Order) limitRegions(f Filter) {
 	far := o.Far()
 	if len(far) == 0 {
 		return
@@ -148,19 +152,19 @@
 	switch {
 	case len(near) == 0:
 		o.reach = NoneInRegion
-	case warm(near, f) < lostShare*warm(far, f)/countRegions(far, f):
+	case countWarm(near, f) < minRegionShare*countWarm(far, f)/regionCount(far, f):
 		o.reach = FewInRegion
 	default:
 		o.tiers[locality.OtherRegion] = nil
 	}
 }
 
-// warm is how many of some targets are not cold.
-func warm(targets []catalog.Target, f Filter) float64 {
+// countWarm returns how many of the targets are not cold.
+func countWarm(targets []catalog.Target, f Filter) float64 {
 	return float64(len(targets) - f.Cold(targets))
 }
 
-func countRegions(targets []catalog.Target, f Filter) float64 {
+func regionCount(targets []catalog.Target, f Filter) float64 {
 	regions := map[string]bool{}
 	for _, t := range targets {
 		regions[f.Region(t.Hall)] = true
@@ -177,8 +181,8 @@
 	})
 }
 
-// nearestFirst sorts targets of other regions by the time there and back. Those of
-// regions that were never measured count as nearest: the first answer measures it.
+// nearestFirst sorts targets of other regions by round-trip time. Regions that were never
+// measured count as nearest, so that the first answer measures them.
 func nearestFirst(targets []catalog.Target, trip func(hall string) (time.Duration, bool)) {
 	nearest := time.Duration(-1)
 	for _, t := range targets {
@@ -191,11 +195,11 @@
 		if !ok {
 			return 0
 		}
-		return int((d - nearest) / sameTrip)
+		return int((d - nearest) / roundTripTolerance)
 	})
 }
 
-// sortByRank puts the lowest rank first and keeps the order of the same rank.
+// sortByRank sorts by ascending rank and keeps the order of targets with the same rank.
 func sortByRank(targets []catalog.Target, rank func(t catalog.Target) int) {
 	slices.SortStableFunc(targets, func(a, b catalog.Target) int { return rank(a) - rank(b) })
 }
--- a/internal/gateway/forward/evidence.go
+++ b/internal/gateway/forward/evidence.go
@@ -131,7 +131,7 @@
 	j := &judgement{
 		evidence: svc.evidence, version: a.Rollout().Version,
 		key:     evidenceKey{route: req.route.Name, canary: chosen.target.Version == a.Rollout().Version},
-		overdue: slowFactor*svc.usual(req.route) + chosen.Trip,
+		overdue: slowFactor*svc.usual(req.route) + chosen.RoundTrip,
 	}
 	if chosen.Cold {
 		j.cold = 1
--- a/internal/gateway/forward/hedge.go
+++ b/internal/gateway/forward/hedge.go
@@ -33,7 +33,7 @@
 // request may run twice. The first answer that counts is taken; the other send
 // is cancelled at once.
 func (b *balancer) attempt(ctx context.Context, req *request, svc *service, chosen *candidate) sent {
-	delay, ok := b.hedgeDelay(req, svc, chosen.Trip)
+	delay, ok := b.hedgeDelay(req, svc, chosen.RoundTrip)
 	if !ok {
 		return b.send(ctx, req, svc, chosen)
 	}
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -27,14 +27,14 @@
 			return nil, failureOf(ctx)
 		}
 		decision := b.decide(req, svc, deadlines, best, within)
-		if decision.Action() == placement.Take {
+		if decision.Action() == placement.SendToBest {
 			if b.gate(best.target.Life()) == nil && b.admitTo(ctx, req, best) {
 				return best, nil
 			}
 			b.release(best)
 			if deadlines.SearchEnded(b.options.Clock()) {
 				closed := b.countClosed(req, b.places.allowed(req, b.targets(req)))
-				return nil, placement.RefusalOfSpent(closed.opensIn)
+				return nil, placement.NoCreditRefusal(closed.opensIn)
 			}
 			continue // at once: it is passed over now
 		}
@@ -55,8 +55,8 @@
 // within is how far this round looks, if there are any targets nearer.
 func (b *balancer) within(req *request, svc *service) locality.Tier {
 	now := b.options.Clock()
-	waits := placement.NewWaits(svc.usualBytes(req.route), req.route.Objective)
-	return waits.Within(now, req.began, svc.isContended(now))
+	waits := placement.NewTierWaits(svc.usualBytes(req.route), req.route.Objective)
+	return waits.MaxTier(now, req.began, svc.isContended(now))
 }
 
 // decide has the decision made, and notes it where it is that no target will do.
@@ -66,24 +66,24 @@
 	known := believed.Targets(req.service)
 	allowed := b.places.allowed(req, known)
 	state := placement.State{
-		Now: now, Deadlines: deadlines, Targets: len(allowed), Barred: len(known) - len(allowed), Evacuated: believed.Evacuated(req.service),
-		Within: within, Yield: svc.yields(now, req.priority()),
+		Now: now, Deadlines: deadlines, Targets: len(allowed), RegionDisallowed: len(known) - len(allowed), Evacuated: believed.Evacuated(req.service),
+		MaxTier: within, Yield: svc.yields(now, req.priority()),
 	}
 	closed := b.countClosed(req, allowed)
-	state.Closed, state.OpensIn, state.BackingOff = closed.count, closed.opensIn, closed.backingOff
+	state.Unavailable, state.AvailableIn, state.BackingOff = closed.count, closed.opensIn, closed.backingOff
 	if best != nil {
 		state.Best = &best.Candidate
 	}
 	decision := placement.Decide(state)
-	if decision.Action() == placement.Take && best.Cold && best.HasReport && !b.takeTurn(req, svc, best.target) {
-		best.Turn = false // another request of this gateway was quicker
+	if decision.Action() == placement.SendToBest && best.Cold && best.HasReport && !b.takeTurn(req, svc, best.target) {
+		best.ColdAllowed = false // another request of this gateway was quicker
 		decision = placement.Decide(state)
 	}
 	if decision.Contended() {
 		svc.waited(now, req.priority())
 	}
 	switch decision.Action() {
-	case placement.Take, placement.RefuseNoTarget, placement.RefuseEvacuated, placement.RefuseRegion:
+	case placement.SendToBest, placement.RefuseNoTarget, placement.RefuseEvacuated, placement.RefuseRegion:
 	default:
 		b.options.Metrics.Wait(req.service)
 	}
@@ -105,7 +105,7 @@
 			return nil, failure
 		}
 		b.release(reached) // it is passed over from now on
-		failure = placement.RefusalOfSpent(0)
+		failure = placement.NoCreditRefusal(0)
 	}
 }
 
--- a/internal/gateway/forward/probe.go
+++ b/internal/gateway/forward/probe.go
@@ -53,8 +53,8 @@
 	if !svc.reportsLoad() {
 		return b.firstReached(ctx, req, svc, order)
 	}
-	effort := placement.Effort{
-		Within: s.within, Contended: svc.isContended(b.options.Clock()), MostlyIdle: svc.mostlyIdle(),
+	effort := placement.ProbeScope{
+		MaxTier: s.within, Contended: svc.isContended(b.options.Clock()), MostlyIdle: svc.mostlyIdle(),
 	}
 	var best *candidate
 	for _, wave := range order.Waves(effort) {
@@ -78,13 +78,13 @@
 func (b *balancer) order(req *request, svc *service, targets []catalog.Target, avoid []catalog.Life) *placement.Order {
 	now, avoided := b.options.Clock(), b.options.Signals.Avoided(targets)
 	filter := placement.Filter{
-		Tier: b.places.tier, Region: b.places.region, Trip: b.places.measured, Avoid: avoid,
+		Tier: b.places.tier, Region: b.places.region, RoundTrip: b.places.measured, Avoid: avoid,
 		Ejected: func(life catalog.Life) bool { return svc.isEjected(now, life) || avoided[life] },
 		Cold:    func(targets []catalog.Target) int { return svc.countCold(now, targets) },
 	}
 	if closed := b.closed(req); len(closed) > 0 {
 		req.sendLog.passOver(targets, closed)
-		filter.Closed = func(life catalog.Life) bool {
+		filter.Unavailable = func(life catalog.Life) bool {
 			_, ok := closed[life]
 			return ok
 		}
@@ -172,7 +172,7 @@
 	trip := b.places.trip(target.Hall)
 	c := &candidate{target: target, conn: conn, Candidate: placement.Candidate{
 		Report: report, HasReport: hasReport, Healthy: health.Healthy(),
-		Tier: b.places.tier(target.Hall), Trip: trip, Predicted: svc.usual(req.route) + trip,
+		Tier: b.places.tier(target.Hall), RoundTrip: trip, Predicted: svc.usual(req.route) + trip,
 	}}
 	if svc.toldWarmup(b.options.Clock(), target, health.Warmup()) {
 		b.warmUp(req, svc, c)
@@ -246,7 +246,7 @@
 // firstOf is firstReached of some targets. A cold one needs a turn, whose end is not
 // waited for.
 func (b *balancer) firstOf(ctx context.Context, req *request, svc *service, targets []catalog.Target) *candidate {
-	placement.ByOwnCounts(targets, svc.activeAt)
+	placement.SortByOwnLoad(targets, svc.activeAt)
 	for _, target := range targets {
 		cold := svc.isCold(b.options.Clock(), target)
 		if cold && !b.takeTurn(req, svc, target) {
@@ -267,8 +267,8 @@
 // unprobed is a target of whose load nothing is known: it counts as empty.
 func (b *balancer) unprobed(target catalog.Target, conn *upstream.Conn, cold bool) *candidate {
 	return &candidate{target: target, conn: conn, Candidate: placement.Candidate{
-		Cold: cold, Turn: cold, Report: load.New(0, 0, target.Slots, 1, time.Time{}), Healthy: true,
-		Tier: b.places.tier(target.Hall), Trip: b.places.trip(target.Hall),
+		Cold: cold, ColdAllowed: cold, Report: load.New(0, 0, target.Slots, 1, time.Time{}), Healthy: true,
+		Tier: b.places.tier(target.Hall), RoundTrip: b.places.trip(target.Hall),
 	}}
 }
 
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -94,7 +94,7 @@
 			h.Set(names.Workspace, who.workspace.Name())
 		}
 	}
-	left := max((req.deadline.Request().Sub(now) - chosen.Trip).Milliseconds(), 1)
+	left := max((req.deadline.Request().Sub(now) - chosen.RoundTrip).Milliseconds(), 1)
 	h.Set(names.Deadline, strconv.FormatInt(left, 10))
 	h.Set(names.ExpectInstance, chosen.target.ID)
 	out := upstream.Request{
--- a/internal/gateway/forward/service.go
+++ b/internal/gateway/forward/service.go
@@ -194,7 +194,7 @@
 func (s *service) waited(now time.Time, priority int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.contention.Waited(now, priority)
+	s.contention.RecordUnplaced(now, priority)
 }
 
 func (s *service) reportsLoad() bool {
@@ -249,7 +249,7 @@
 func (s *service) yields(now time.Time, priority int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.contention.Yields(now, priority)
+	return s.contention.ShouldYield(now, priority)
 }
 
 func (s *service) activeAt(life catalog.Life) int {
--- a/internal/gateway/forward/warmup.go
+++ b/internal/gateway/forward/warmup.go
@@ -20,8 +20,8 @@
 func (b *balancer) warmUp(req *request, svc *service, c *candidate) {
 	now := b.options.Clock()
 	c.Cold = true
-	c.Predicted = svc.predictCold(req.route, c.Report) + c.Trip
-	c.Turn = svc.hasTurn(now, b.coldShare(now, req, svc, c.target))
+	c.Predicted = svc.predictCold(req.route, c.Report) + c.RoundTrip
+	c.ColdAllowed = svc.hasTurn(now, b.coldShare(now, req, svc, c.target))
 }
 
 // takeTurn takes a turn at a cold target.
