--- a/core/gateway/estimate/estimate_test.go
+++ b/core/gateway/estimate/estimate_test.go
@@ -23,26 +23,26 @@
 	return estimate.Answer{Took: took, Bytes: 1000, Report: report}
 }
 
-func TestTheUsualTimeFollowsIdleTargetsAlone(t *testing.T) {
+func TestUsualTimeIsUpdatedByIdleTargetsOnly(t *testing.T) {
 	const took = 100 * time.Millisecond
 	for name, c := range map[string]struct {
-		report load.Report
-		learnt bool
+		report       load.Report
+		updatesUsual bool
 	}{
-		"idle":              {idle, true},
-		"slow":              {load.New(0, 0, 3, 1.3, time.Time{}), false},
-		"with a queue":      {load.New(3, 1, 3, 1, time.Time{}), false},
-		"on its last slot":  {lastSlot, false},
-		"one slot, no last": {load.New(0, 0, 1, 1, time.Time{}), true},
+		"idle":             {idle, true},
+		"slow":             {load.New(0, 0, 3, 1.3, time.Time{}), false},
+		"with a queue":     {load.New(3, 1, 3, 1, time.Time{}), false},
+		"on its last slot": {lastSlot, false},
+		"the only slot":    {load.New(0, 0, 1, 1, time.Time{}), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := estimate.New()
-			g.Expect(s.Usual(route)).To(Equal(350*time.Millisecond), "before anything was measured")
+			g.Expect(s.Usual(route)).To(Equal(350*time.Millisecond), "initial value")
 			for range 200 {
-				s.Answered(route, answer(took, c.report))
+				s.RecordAnswer(route, answer(took, c.report))
 			}
-			if c.learnt {
+			if c.updatesUsual {
 				g.Expect(s.Usual(route)).To(BeNumerically("~", took, 10*time.Millisecond))
 			} else {
 				g.Expect(s.Usual(route)).To(Equal(350 * time.Millisecond))
@@ -52,84 +52,85 @@
 	}
 }
 
-func TestOneLongAnswerMovesTheUsualTimeByABoundedStep(t *testing.T) {
+func TestLongAnswerMovesUsualTimeByBoundedStep(t *testing.T) {
 	g := NewWithT(t)
 	s := estimate.New()
 	for range 100 {
-		s.Answered(route, answer(100*time.Millisecond, idle))
+		s.RecordAnswer(route, answer(100*time.Millisecond, idle))
 	}
 	before := s.Usual(route)
-	s.Answered(route, answer(time.Hour, idle))
+	s.RecordAnswer(route, answer(time.Hour, idle))
 	g.Expect(s.Usual(route)).To(BeNumerically("~", before*106/100, time.Microsecond))
 }
 
-// teach makes a service whose usual time is known.
-func teach() (*estimate.Service, time.Duration) {
+// trained returns a service whose usual time is known, and that time.
+func trained() (*estimate.Service, time.Duration) {
 	s := estimate.New()
 	for range 100 {
-		s.Answered(route, answer(100*time.Millisecond, idle))
+		s.RecordAnswer(route, answer(100*time.Millisecond, idle))
 	}
 	return s, s.Usual(route)
 }
 
-// answered lets requests that begin at a target with a load take so many times the
-// usual time.
-func answered(s *estimate.Service, n int, ratio float64, report load.Report) {
+// answerRepeatedly records n answers of requests that started at a target with the given
+// load and took the given multiple of the usual time.
+func answerRepeatedly(s *estimate.Service, n int, ratio float64, report load.Report) {
 	for range n {
-		s.Answered(route, answer(time.Duration(ratio*float64(s.Usual(route))), report))
+		s.RecordAnswer(route, answer(time.Duration(ratio*float64(s.Usual(route))), report))
 	}
 }
 
-func TestWhatALastSlotCostsIsLearnt(t *testing.T) {
+func TestPredictionIncludesMeasuredCostOfLastSlot(t *testing.T) {
 	for name, c := range map[string]struct {
 		ratio     float64
 		saturated bool
 	}{
-		"nothing":      {1, false},
-		"twice":        {2, true},
-		"beyond bound": {100, true},
+		"no slowdown":      {1, false},
+		"twice as slow":    {2, true},
+		"beyond the bound": {100, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s, usual := teach()
-			answered(s, 500, c.ratio, lastSlot)
+			s, usual := trained()
+			answerRepeatedly(s, 500, c.ratio, lastSlot)
 			p := s.Predict(route, lastSlot)
 			g.Expect(p.Saturated()).To(Equal(c.saturated))
-			g.Expect(p.Took()).To(BeNumerically("~", time.Duration(min(max(c.ratio, 1.15), 8)*1.067*float64(usual)), usual/20))
+			g.Expect(p.Duration()).To(BeNumerically("~", time.Duration(min(max(c.ratio, 1.15), 8)*1.067*float64(usual)), usual/20))
 			g.Expect(s.Predict(route, idle).Saturated()).To(BeFalse())
-			g.Expect(s.Predict(route, idle).Took()).To(Equal(usual))
-			g.Expect(s.Predict(route, full).Saturated()).To(BeTrue(), "whatever a last slot costs")
-			g.Expect(s.Predict(route, load.New(0, 0, 1, 1, time.Time{})).Took()).To(Equal(usual), "one slot, no last")
+			g.Expect(s.Predict(route, idle).Duration()).To(Equal(usual))
+			g.Expect(s.Predict(route, full).Saturated()).To(BeTrue(), "regardless of the cost of the last slot")
+			g.Expect(s.Predict(route, load.New(0, 0, 1, 1, time.Time{})).Duration()).To(Equal(usual), "the only slot")
 		})
 	}
 }
 
-// costs is what each further running request makes all that begin then slower by.
+// costs holds, for each number of running requests, the factor by which a request that
+// starts then is slower.
 type costs []float64
 
-func TestTheLimitIsWhereATargetDoesMostWork(t *testing.T) {
+func TestReservedSlotsMaximizeThroughput(t *testing.T) {
 	for name, c := range map[string]struct {
-		costs costs // by the number that run, with the one that begins
+		costs costs // by the number of running requests, including the new one
 		limit int
 	}{
-		"no slowdown":                       {costs{1, 1, 1, 1, 1, 1}, 6},
-		"one slot":                          {costs{1}, 1},
-		"slower from the fifth":             {costs{1, 1, 1, 1, 1.7, 1.7}, 4},
-		"a steep cost from the fourth":      {costs{1, 1, 1, 6, 6, 6}, 3},
-		"the last of three":                 {costs{1, 1, 1.8}, 2},
-		"the last of three, a little":       {costs{1, 1, 1.3}, 3},
-		"twice as slow in pairs":            {costs{1, 2.4}, 1},
-		"many slots":                        {costs{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 2, 2, 2, 2}, 12},
-		"a level that only seemed to cost":  {costs{1, 1, 1.5, 1, 1, 1}, 6},
-		"each costs as much as it is worth": {costs{1, 1.5, 2, 2.5, 3, 3.5}, 6},
+		"no slowdown":                                   {costs{1, 1, 1, 1, 1, 1}, 6},
+		"one slot":                                      {costs{1}, 1},
+		"slower from the fifth":                         {costs{1, 1, 1, 1, 1.7, 1.7}, 4},
+		"a steep cost from the fourth":                  {costs{1, 1, 1, 6, 6, 6}, 3},
+		"slower on the last of three":                   {costs{1, 1, 1.8}, 2},
+		"slightly slower on the last of three":          {costs{1, 1, 1.3}, 3},
+		"twice as slow in pairs":                        {costs{1, 2.4}, 1},
+		"many slots":                                    {costs{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 2, 2, 2, 2}, 12},
+		"a level with a cost above that of fuller ones": {costs{1, 1, 1.5, 1, 1, 1}, 6},
+		"slower with each slot, but more throughput":    {costs{1, 1.5, 2, 2.5, 3, 3.5}, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s, _ := teach()
+			s, _ := trained()
 			slots := len(c.costs)
 			for range 100 {
 				for running, cost := range c.costs {
-					answered(s, 1, cost, load.New(running, 0, slots, 1, time.Time{}))
+					answerRepeatedly(s, 1, cost, load.New(running, 0, slots, 1, time.Time{}))
 				}
 			}
 			reserved := s.Predict(route, load.New(0, 0, slots, 1, time.Time{})).Reserved()
@@ -138,83 +139,83 @@
 	}
 }
 
-func TestTheLimitRisesAgainWhenTargetsNoLongerSlowDown(t *testing.T) {
+func TestReservedSlotsAreReleasedWhenTargetsNoLongerSlowDown(t *testing.T) {
 	g := NewWithT(t)
-	s, _ := teach()
+	s, _ := trained()
 	fifth := load.New(4, 0, 6, 1, time.Time{})
-	answered(s, 10, 1.7, fifth)
+	answerRepeatedly(s, 10, 1.7, fifth)
 	g.Expect(s.Predict(route, fifth).Reserved()).To(Equal(2))
-	answered(s, 60, 1, fifth)
+	answerRepeatedly(s, 60, 1, fifth)
 	g.Expect(s.Predict(route, fifth).Reserved()).To(BeZero())
 }
 
-func TestATargetThatHangsTellsLittleOfItsLevel(t *testing.T) {
+func TestHangingTargetBarelyChangesLevelCost(t *testing.T) {
 	g := NewWithT(t)
-	s, _ := teach()
+	s, _ := trained()
 	fifth := load.New(4, 0, 6, 1, time.Time{})
-	answered(s, 24, 1, fifth)
-	answered(s, 2, 100, fifth)
+	answerRepeatedly(s, 24, 1, fifth)
+	answerRepeatedly(s, 2, 100, fifth)
 	g.Expect(s.Predict(route, fifth).Reserved()).To(BeZero())
 }
 
-func TestALastSlotCostsLittleBeforeAnyWasTaken(t *testing.T) {
+func TestLastSlotIsNotSaturatedBeforeAnySample(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(estimate.New().Predict(route, lastSlot).Saturated()).To(BeFalse())
 }
 
-func TestIdleShare(t *testing.T) {
+func TestMostlyIdleFollowsProbes(t *testing.T) {
 	g := NewWithT(t)
 	s := estimate.New()
 	g.Expect(s.MostlyIdle()).To(BeFalse())
 	for range 20 {
-		s.Probed(true)
+		s.RecordProbe(true)
 	}
 	g.Expect(s.MostlyIdle()).To(BeTrue())
 	for range 20 {
-		s.Probed(false)
+		s.RecordProbe(false)
 	}
 	g.Expect(s.MostlyIdle()).To(BeFalse())
 }
 
-func TestAServiceReportsNoLoadAfterEightProbesWithout(t *testing.T) {
+func TestServiceReportsNoLoadAfterEightProbesWithoutReport(t *testing.T) {
 	g := NewWithT(t)
 	s := estimate.New()
 	for range 7 {
-		s.ProbeAnswered(false)
+		s.RecordLoadReport(false)
 		g.Expect(s.ReportsLoad()).To(BeTrue())
 	}
-	s.ProbeAnswered(false)
+	s.RecordLoadReport(false)
 	g.Expect(s.ReportsLoad()).To(BeFalse())
-	s.ProbeAnswered(true)
+	s.RecordLoadReport(true)
 	g.Expect(s.ReportsLoad()).To(BeTrue())
 	for range 100 {
-		s.ProbeAnswered(false)
+		s.RecordLoadReport(false)
 	}
-	g.Expect(s.ReportsLoad()).To(BeTrue(), "some of its targets did")
+	g.Expect(s.ReportsLoad()).To(BeTrue(), "some of its targets reported load before")
 }
 
 func ExampleService() {
 	s := estimate.New()
-	s.Answered(route, estimate.Answer{Took: 100 * time.Millisecond, Bytes: 2048, Report: idle})
+	s.RecordAnswer(route, estimate.Answer{Took: 100 * time.Millisecond, Bytes: 2048, Report: idle})
 	fmt.Println(s.Usual(route), s.Predict(route, full).Saturated())
 	// Output: 175ms true
 }
 
-// What cold targets take is learnt apart: neither the usual time nor what levels cost is
-// spoilt by it.
-func TestColdTargetsSpoilNothingThatIsLearnt(t *testing.T) {
+// The times of cold targets are estimated separately: they change neither the usual time
+// nor the costs of levels.
+func TestColdTargetsDoNotChangeWarmEstimates(t *testing.T) {
 	g := NewWithT(t)
 	s := estimate.New()
 	idle := load.New(0, 0, 2, 1, time.Time{})
 	for range 30 {
-		s.Answered(route, answer(100*time.Millisecond, idle))
+		s.RecordAnswer(route, answer(100*time.Millisecond, idle))
 	}
 	usual, before := s.Usual(route), s.Predict(route, idle)
 	cold := answer(300*time.Millisecond, idle)
 	cold.Cold = true
-	g.Expect(s.PredictCold(route, idle)).To(Equal(2*usual), "believed before any was answered")
+	g.Expect(s.PredictCold(route, idle)).To(Equal(2*usual), "initial value")
 	for range 30 {
-		s.Answered(route, cold)
+		s.RecordAnswer(route, cold)
 	}
 	g.Expect(s.Usual(route)).To(Equal(usual))
 	g.Expect(s.Predict(route, idle)).To(Equal(before))
--- a/core/gateway/estimate/levels.go
+++ b/core/gateway/estimate/levels.go
@@ -3,52 +3,55 @@
 import "github.com/sprucecrank/sprucecrank/core/gateway/load"
 
 const (
-	// levelCount is how many levels of fullness are distinguished. Targets of up to 12
-	// slots with a divisor of it have a level for each slot; with more slots some
-	// share one.
+	// levelCount is the number of levels of fullness. Targets with up to 12 slots, whose
+	// number divides 12, have one level for each slot; with more slots, several share a
+	// level.
 	levelCount = 12
-	// costMemory is how many answers a cost goes by, and costDoubt how many answers it
-	// takes to outweigh the belief that a level costs nothing. Single answers
-	// vary by a third, so that 24 of them give a cost to some hundredths.
-	costMemory = 24
-	costDoubt  = 1
-	// longestPull bounds what one answer counts for, as a multiple of the cost
-	// believed: a target that hangs says nothing of its level.
-	longestPull = 3
-	// maxCost bounds what is believed of a level, far above what last slots and full targets cost
-	// (docs/DESIGN.md, "Which target").
+	// costSamples is the number of answers that a cost is averaged over, and
+	// costPriorWeight the weight, in answers, of the initial assumption that a level
+	// costs nothing. Single answers vary by a third, so that 24 of them determine a cost
+	// to within some hundredths.
+	costSamples     = 24
+	costPriorWeight = 1
+	// maxCostGrowth bounds the ratio that one answer counts with, as a multiple of the
+	// current cost: a target that hangs says nothing about its level.
+	maxCostGrowth = 3
+	// maxCost bounds the cost of a level, far above the measured cost of last slots and
+	// full targets (docs/DESIGN.md, "Which target").
 	maxCost = 8
-	// noCost is a level that costs nothing, and mattersFrom the greatest cost that is
-	// taken for none: a few answers vary by that much.
-	noCost      = 1
-	mattersFrom = 1.35
-	// firstLastCost is believed of the last slot before any request took one. 1.25 in
-	// its place was measured and lost (docs/DESIGN.md, "Which target").
-	firstLastCost = 1.15
-	// firstColdCost is how much longer requests are believed to take at a cold target
-	// before any was answered by one. The users' take twice as long.
-	firstColdCost = 2
-	// limitGain is by how much more work a target must do when it is held below all
-	// of its slots, for some to be left free. Below it either is as good.
-	limitGain = 1.0
+	// noCost is the cost of a level that slows nothing down, and negligibleCost the
+	// greatest cost that is treated as none: the mean of a few answers varies by that
+	// much.
+	noCost         = 1
+	negligibleCost = 1.35
+	// initialLastSlotCost is the assumed cost of the last slot before any request used
+	// one. 1.25 was measured and gave worse results (docs/DESIGN.md, "Which target").
+	initialLastSlotCost = 1.15
+	// initialColdCost is how much longer requests are assumed to take at a cold target
+	// before any was answered by one. The users' cold targets take twice as long.
+	initialColdCost = 2
+	// minLimitGain is by which factor a target must do more work when it is limited to
+	// fewer requests than its slots, for some slots to be left free. Below it, neither
+	// choice is better.
+	minLimitGain = 1.0
 )
 
-// cost follows how much longer requests take that begin at one level of fullness.
+// cost estimates how much longer requests take that start at one level of fullness.
 type cost struct {
-	factor float64
-	seen   int
+	factor  float64
+	samples int
 }
 
-// learn moves the factor by one step towards what one request took over the usual
+// update moves the factor one step towards the ratio of a request's time to the usual
 // time.
-func (c *cost) learn(ratio float64) {
-	c.seen++
-	ratio = min(ratio, longestPull*c.factor, maxCost)
-	c.factor += (ratio - c.factor) / float64(min(c.seen+costDoubt, costMemory))
+func (c *cost) update(ratio float64) {
+	c.samples++
+	ratio = min(ratio, maxCostGrowth*c.factor, maxCost)
+	c.factor += (ratio - c.factor) / float64(min(c.samples+costPriorWeight, costSamples))
 }
 
-// levels are the costs of a service's targets by how full they are, with the request
-// itself counted in.
+// levels holds the costs of a service's targets by how full they are, including the
+// request itself.
 type levels [levelCount]cost
 
 func newLevels() levels {
@@ -59,20 +62,21 @@
 	return l
 }
 
-// levelOf is the level at which a target with so many slots is with running requests.
-func levelOf(running, slots int) int {
-	running = min(max(running, 1), slots)
-	return (running*levelCount+slots-1)/slots - 1
+// levelOf returns the level of a target with the given number of active requests and
+// slots.
+func levelOf(active, slots int) int {
+	active = min(max(active, 1), slots)
+	return (active*levelCount+slots-1)/slots - 1
 }
 
-// learn takes in what a request took, over the usual time, that began at a target
-// with a load.
-func (l *levels) learn(r load.Report, ratio float64) {
-	l[levelOf(r.Running()+1, r.Slots())].learn(ratio)
+// update records the ratio of a request's time to the usual time, for a request that
+// started at a target with the given load.
+func (l *levels) update(r load.Report, ratio float64) {
+	l[levelOf(r.Running()+1, r.Slots())].update(ratio)
 }
 
-// factor is how much longer a request would take at a target with a load. An idle
-// target costs nothing, whatever its slots.
+// factor returns how much longer a request would take at a target with the given load. An
+// idle target has no cost, whatever its number of slots.
 func (l *levels) factor(r load.Report) float64 {
 	if r.Running()+r.Waiting() == 0 {
 		return noCost
@@ -80,54 +84,55 @@
 	return l.cost(levelOf(r.Running()+r.Waiting()+1, r.Slots()))
 }
 
-// cost is what is believed of a level. Fuller targets are not quicker: a level
-// costs no more than any fuller one that is known. One that is not known costs as
-// much as the one below it.
+// cost returns the estimated cost of a level. Fuller targets are not faster, so that a
+// level costs no more than any fuller one with samples. A level without samples costs as
+// much as the nearest level below it.
 func (l *levels) cost(level int) float64 {
-	known := level
-	for known >= 0 && l[known].seen == 0 {
-		known--
+	nearest := level
+	for nearest >= 0 && l[nearest].samples == 0 {
+		nearest--
 	}
-	if known < 0 {
-		return unknownCost(level)
+	if nearest < 0 {
+		return initialCost(level)
 	}
-	least := l[known].factor
-	for _, fuller := range l[known+1:] {
-		if fuller.seen > 0 {
+	least := l[nearest].factor
+	for _, fuller := range l[nearest+1:] {
+		if fuller.samples > 0 {
 			least = min(least, fuller.factor)
 		}
 	}
-	if least <= mattersFrom {
-		return max(noCost, unknownCost(level))
+	if least <= negligibleCost {
+		return max(noCost, initialCost(level))
 	}
 	return least
 }
 
-// unknownCost is what is believed of a level whose cost was never observed.
-func unknownCost(level int) float64 {
+// initialCost returns the assumed cost of a level without samples.
+func initialCost(level int) float64 {
 	if level == levelCount-1 {
-		return firstLastCost
+		return initialLastSlotCost
 	}
 	return noCost
 }
 
-// limit is the number of requests with which a target with so many slots does most
-// work a second: all of its slots, unless fewer gain noticeably.
+// limit returns the number of concurrent requests with which a target with the given
+// number of slots does the most work a second: all of its slots, unless fewer gain
+// noticeably.
 func (l *levels) limit(slots int) int {
-	best, most := slots, limitGain*l.rate(slots, slots)
-	for running := 1; running < slots; running++ {
-		if rate := l.rate(running, slots); rate > most {
-			best, most = running, rate
+	bestLimit, bestRate := slots, minLimitGain*l.rate(slots, slots)
+	for active := 1; active < slots; active++ {
+		if rate := l.rate(active, slots); rate > bestRate {
+			bestLimit, bestRate = active, rate
 		}
 	}
-	return best
+	return bestLimit
 }
 
-// rate is the work a second that a target does with running requests, over that of
-// one request alone.
-func (l *levels) rate(running, slots int) float64 {
-	if running == 1 {
+// rate returns the work a second that a target does with the given number of active
+// requests, relative to that of a single request.
+func (l *levels) rate(active, slots int) float64 {
+	if active == 1 {
 		return 1
 	}
-	return float64(running) / l.cost(levelOf(running, slots))
+	return float64(active) / l.cost(levelOf(active, slots))
 }
--- a/core/gateway/load/load_test.go
+++ b/core/gateway/load/load_test.go
@@ -12,11 +12,11 @@
 
 const usual = 100 * time.Millisecond
 
-func reading(running, waiting, slots int, slowness float64) load.Report {
+func report(running, waiting, slots int, slowness float64) load.Report {
 	return load.New(running, waiting, slots, slowness, time.Time{})
 }
 
-func TestALoadHeaderIsReadWhole(t *testing.T) {
+func TestParseReadsAllFieldsAndRejectsMalformedReports(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(7, 0)
 	r, err := load.Parse("3, 1,8,500", now)
@@ -31,17 +31,17 @@
 	}
 }
 
-func TestOfTwoTargetsTheOneThatAnswersSoonerIsPredictedSooner(t *testing.T) {
+func TestPredictRanksFasterTargetFirst(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		better, worse load.Report
-		cost          float64 // of the second
+		cost          float64 // of the worse target
 	}{
-		{"the emptier one", reading(0, 0, 3, 1), reading(1, 0, 3, 1), 1},
-		{"the usual one, though it is fuller", reading(1, 0, 3, 1), reading(0, 0, 3, 5), 1},
-		{"the one with room beyond its last slot", reading(1, 0, 3, 1), reading(2, 0, 3, 1), 1.7},
-		{"the one with a free slot", reading(2, 0, 3, 1), reading(3, 0, 3, 1), 1.7},
-		{"the one with the shorter queue", reading(3, 1, 3, 1), reading(3, 2, 3, 1), 1},
+		{"the emptier target", report(0, 0, 3, 1), report(1, 0, 3, 1), 1},
+		{"the target of usual speed, though fuller", report(1, 0, 3, 1), report(0, 0, 3, 5), 1},
+		{"the target with more than its last slot free", report(1, 0, 3, 1), report(2, 0, 3, 1), 1.7},
+		{"the target with a free slot", report(2, 0, 3, 1), report(3, 0, 3, 1), 1.7},
+		{"the target with the shorter queue", report(3, 1, 3, 1), report(3, 2, 3, 1), 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -50,11 +50,11 @@
 	}
 }
 
-func TestATargetWithOneSlotHasNoLastSlot(t *testing.T) {
+func TestTargetWithOneSlotHasNoLastSlot(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(reading(0, 0, 1, 1).LastSlot()).To(BeFalse())
-	g.Expect(reading(2, 0, 3, 1).LastSlot()).To(BeTrue())
-	g.Expect(reading(0, 0, 1, 1).Predict(usual, 1)).To(Equal(usual))
+	g.Expect(report(0, 0, 1, 1).LastSlot()).To(BeFalse())
+	g.Expect(report(2, 0, 3, 1).LastSlot()).To(BeTrue())
+	g.Expect(report(0, 0, 1, 1).Predict(usual, 1)).To(Equal(usual))
 }
 
 func FuzzParse(f *testing.F) {
--- a/core/gateway/placement/placement.go
+++ b/core/gateway/placement/placement.go
@@ -95,7 +95,7 @@
 // Idle reports whether no other target could be much better: it has a free slot, works at
 // its usual speed, and is neither saturated nor cold.
 func (c *Candidate) Idle() bool {
-	return c.Free() && !c.Cold && !c.Saturated && c.Report.Slowness() <= estimate.UsualSlowness
+	return c.Free() && !c.Cold && !c.Saturated && c.Report.Slowness() <= estimate.MaxUsualSlowness
 }
 
 const (
--- a/core/gateway/placement/placement_test.go
+++ b/core/gateway/placement/placement_test.go
@@ -114,7 +114,7 @@
 		"back-off ends after the search":             {maxTier: far, at: searchEnded, unavailable: 1, backOff: 1, availableIn: time.Millisecond, action: placement.RefuseBackOff, contended: true},
 		"some ask for back-off, some have no credit": {maxTier: far, at: early, targets: 1, unavailable: 2, backOff: 1, action: placement.RefuseBackOff, contended: true},
 		"one target does not ask for back-off":       {maxTier: far, at: early, targets: 1, unavailable: 1, backOff: 1, action: placement.Wait, contended: true},
-		"all halls are evacuated":                {maxTier: far, at: early, targets: -1, evacuated: 2, action: placement.RefuseEvacuated},
+		"all halls are evacuated":                    {maxTier: far, at: early, targets: -1, evacuated: 2, action: placement.RefuseEvacuated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -309,7 +309,7 @@
 	for name, c := range map[string]struct {
 		hall, region, far int
 		effort            placement.ProbeScope
-		waves             []string // the waveHalls of each one's targets
+		waves             []string // the halls of each wave's targets
 	}{
 		"two at a time, four of each":                      {6, 6, 0, placement.ProbeScope{MaxTier: far}, []string{"aa", "aa", "bb", "bb"}},
 		"an odd number":                                    {3, 1, 0, placement.ProbeScope{MaxTier: far}, []string{"aa", "a", "b"}},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -192,7 +192,7 @@
 		return nil, err
 	}
 	places := g.places.Load()
-	unknown := slices.DeleteFunc(slices.Clone(table.Regions()), places.Names)
+	unknown := slices.DeleteFunc(slices.Clone(table.Regions()), places.HasRegion)
 	if len(unknown) > 0 {
 		g.log.Warn("configuration names unknown regions", "version", table.Version(), "regions", unknown)
 	}
--- a/internal/gateway/forward/places.go
+++ b/internal/gateway/forward/places.go
@@ -22,15 +22,15 @@
 	unnamed sync.Map // halls that the settings don't name, as they were logged
 
 	mu    sync.Mutex
-	trips *locality.Trips
+	trips *locality.RoundTrips
 }
 
 func newPlaces(current func() *locality.Map, log *slog.Logger) *places {
-	return &places{current: current, log: log, trips: locality.NewTrips()}
+	return &places{current: current, log: log, trips: locality.NewRoundTrips()}
 }
 
 // spans says whether the fleet spans regions.
-func (p *places) spans() bool { return p.current().Spans() }
+func (p *places) spans() bool { return p.current().SpansRegions() }
 
 // tier is how far a hall is.
 func (p *places) tier(hall string) locality.Tier {
@@ -81,7 +81,7 @@
 	region := p.region(hall)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.trips.Of(region)
+	return p.trips.Get(region)
 }
 
 // trip is the time there and back that a target of a hall adds: 0 within the region,
--- a/internal/gateway/forward/probe.go
+++ b/internal/gateway/forward/probe.go
@@ -180,7 +180,7 @@
 	}
 	if c.HasReport {
 		prediction := svc.predict(req.route, c.Report)
-		c.Predicted, c.Saturated = prediction.Took()+trip, prediction.Saturated()
+		c.Predicted, c.Saturated = prediction.Duration()+trip, prediction.Saturated()
 		if !req.exploresLimit {
 			c.Reserved = prediction.Reserved()
 		}
--- a/internal/gateway/forward/service.go
+++ b/internal/gateway/forward/service.go
@@ -158,7 +158,7 @@
 	}
 	s.ejections.Ended(now, life, o)
 	if o != outcome.Abandoned {
-		s.estimate.Sent(o == outcome.Shed)
+		s.estimate.RecordSend(o == outcome.Shed)
 	}
 }
 
@@ -166,7 +166,7 @@
 func (s *service) answered(route *routing.Route, a estimate.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.estimate.Answered(route, a)
+	s.estimate.RecordAnswer(route, a)
 }
 
 // probeFailed notes that a target could not be connected to or did not answer.
@@ -180,14 +180,14 @@
 func (s *service) probeAnswered(hasReport bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.estimate.ProbeAnswered(hasReport)
+	s.estimate.RecordLoadReport(hasReport)
 }
 
 // probed learns whether a target that was probed was idle.
 func (s *service) probed(idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.estimate.Probed(idle)
+	s.estimate.RecordProbe(idle)
 }
 
 // waited notes that a request found no target.
--- a/internal/gateway/forward/trial.go
+++ b/internal/gateway/forward/trial.go
@@ -47,7 +47,7 @@
 	if found.Cold {
 		return found.Room() > 0 && b.takeTurn(req, svc, found.target)
 	}
-	return found.Free() && found.Report.Slowness() <= estimate.UsualSlowness || !found.HasReport
+	return found.Free() && found.Report.Slowness() <= estimate.MaxUsualSlowness || !found.HasReport
 }
 
 // drawTrial says whether a request is drawn for the version on trial.
