--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -115,14 +115,14 @@
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	f.asked = now
-	f.meet(now, args.Members, f.view.Called)
+	f.meet(now, args.Members, f.view.ObserveCall)
 	f.noteTries(now, args.Tries)
 	f.mergeUpdates(args.Fatal, args.From.ID)
 	if args.From.ID == "" {
 		return
 	}
-	f.greet(now, args.From, f.view.Called)
-	told := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().Lacks(args.At)}
+	f.greet(now, args.From, f.view.ObserveCall)
+	told := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().IsBehind(args.At)}
 	if !told.fresher || f.fresh.Age(now) > args.Age {
 		f.noteOffer(now, told)
 	}
@@ -170,7 +170,7 @@
 	if !a.FollowsRollouts {
 		position.RolloutsChanged = 0
 	}
-	return a.At.Lacks(position)
+	return a.At.IsBehind(position)
 }
 
 // hasAnswer says whether there is something to answer now: an update, news that
@@ -180,7 +180,7 @@
 	now := f.options.Clock()
 	ahead := args.lacks(f.catalog.Position())
 	confirms := f.fresh.Confirms(now, older(args.Age, now.Sub(asked)))
-	tries := f.tries.Lacking(now, args.Tries)
+	tries := f.tries.AnyMissingIn(now, args.Tries)
 	updates := args.AsksFatal && f.lacksUpdates(parsePositions(args.FatalAt))
 	return ahead || confirms || tries || updates || f.view.Self().Leaving
 }
