--- a/core/gateway/quarantine/ledger.go
+++ b/core/gateway/quarantine/ledger.go
@@ -9,7 +9,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/changes"
 )
 
-// Ledger is what a gateway knows of requests under which targets ended. It is not safe
+// Ledger holds what a gateway knows of requests under which targets ended. It is not safe
 // for concurrent use.
 type Ledger struct {
 	log      *changes.Log
@@ -17,48 +17,48 @@
 	verdicts *Verdicts
 }
 
-// New makes a ledger that knows nothing. number is drawn at random, so that others can
-// distinguish it from that of an earlier life of the gateway.
+// New returns an empty ledger. number is drawn at random, so that others can tell the ledger
+// from that of an earlier incarnation of the gateway.
 func New(number uint64) *Ledger {
 	return &Ledger{log: changes.NewLog(number), records: map[string]*record{}, verdicts: &Verdicts{}}
 }
 
-// Verdicts are those by what is known now.
+// Verdicts returns the verdicts on all known requests.
 func (l *Ledger) Verdicts() *Verdicts { return l.verdicts }
 
-// Size is how many requests the ledger knows of.
+// Size returns the number of known requests.
 func (l *Ledger) Size() int { return len(l.records) }
 
-// Position is how far the ledger has come.
+// Position returns the position of the ledger's latest change.
 func (l *Ledger) Position() changes.Position { return l.log.Position() }
 
-// NoteEnd notes that a target ended while it had a request under way. Others should learn of
-// it at once if it is not the first end under this request, else once Tick says so.
-func (l *Ledger) NoteEnd(now time.Time, r Request, e End) {
+// RecordEnd records that a target ended while it had a request under way. Others should be
+// sent that at once if it is not the first end under this request, else when Tick reports it.
+func (l *Ledger) RecordEnd(now time.Time, request Request, e End) {
 	l.expire(now)
-	kept := l.record(r.Print.Content, r.Service)
-	kept.seen = now
-	kept.ends = append(kept.ends, end{id: e.ID, target: e.Target, caller: r.Print.Caller, at: now, ran: e.Ran})
-	kept.trim()
-	if len(kept.ends) > 1 {
-		l.touch(kept)
+	r := l.record(request.Fingerprint.Content, request.Service)
+	r.lastSeen = now
+	r.ends = append(r.ends, end{id: e.ID, target: e.Target, caller: request.Fingerprint.Caller, at: now, ran: e.Ran})
+	r.trim()
+	if len(r.ends) > 1 {
+		l.markChanged(r)
 	}
 	l.limit()
-	l.judge()
+	l.updateVerdicts()
 }
 
-// NoteAnswer notes that a target has run a request and lives, and says whether others
-// should learn of that.
-func (l *Ledger) NoteAnswer(now time.Time, r Request) bool {
-	kept, ok := l.records[r.Print.Content]
+// RecordAnswer records that a target has run a request and is still running. It reports
+// whether others should be sent that.
+func (l *Ledger) RecordAnswer(now time.Time, request Request) bool {
+	r, ok := l.records[request.Fingerprint.Content]
 	if !ok {
 		return false
 	}
 	changed := false
-	for i := range kept.ends {
-		e := &kept.ends[i]
+	for i := range r.ends {
+		e := &r.ends[i]
 		excuse := Answered
-		if e.caller == r.Print.Caller {
+		if e.caller == request.Fingerprint.Caller {
 			excuse = Cleared
 		}
 		changed = e.raise(excuse) || changed
@@ -66,43 +66,43 @@
 	if !changed {
 		return false
 	}
-	if kept.isHeldBack() && kept.against() == 0 {
-		delete(l.records, kept.content)
-		l.judge()
+	if r.isUnsent() && r.unclearedEnds() == 0 {
+		delete(l.records, r.content)
+		l.updateVerdicts()
 		return false
 	}
-	kept.seen = now
-	kept.trim()
-	l.touch(kept)
-	l.judge()
+	r.lastSeen = now
+	r.trim()
+	l.markChanged(r)
+	l.updateVerdicts()
 	return true
 }
 
-// NoteRefused notes that a quarantined request came again, and says whether others should
-// learn of that.
-func (l *Ledger) NoteRefused(now time.Time, r Request) bool {
-	kept, ok := l.records[r.Print.Content]
+// RecordRefusal records that a quarantined request came again. It reports whether others
+// should be sent that.
+func (l *Ledger) RecordRefusal(now time.Time, request Request) bool {
+	r, ok := l.records[request.Fingerprint.Content]
 	if !ok {
 		return false
 	}
-	kept.seen = now
-	if now.Sub(kept.told) < toldAgainAfter {
+	r.lastSeen = now
+	if now.Sub(r.lastSent) < resendAfter {
 		return false
 	}
-	l.touch(kept)
+	l.markChanged(r)
 	return true
 }
 
-// Tick forgets what has lapsed, and no longer holds back what was noted some time ago. It
-// says whether there is anything that others should learn of. It should be called each
+// Tick drops expired records, and marks first ends whose delay is over as ready to be sent.
+// It reports whether there is anything new to send to others. It should be called each
 // second.
 func (l *Ledger) Tick(now time.Time) (isNew bool) {
 	if l.expire(now) {
-		l.judge()
+		l.updateVerdicts()
 	}
 	for _, r := range l.records {
-		if r.isHeldBack() && now.Sub(r.seen) >= holdBack {
-			l.touch(r)
+		if r.isUnsent() && now.Sub(r.lastSeen) >= firstEndDelay {
+			l.markChanged(r)
 			isNew = true
 		}
 	}
@@ -112,69 +112,70 @@
 func (l *Ledger) expire(now time.Time) bool {
 	before := len(l.records)
 	for content, r := range l.records {
-		if now.Sub(r.seen) >= lapseAfter {
+		if now.Sub(r.lastSeen) >= lapseAfter {
 			delete(l.records, content)
 		}
 	}
 	return len(l.records) < before
 }
 
-// Merge takes in what another gateway reported, and says whether that changes anything.
+// Merge merges updates from another gateway, and reports whether they change anything.
 func (l *Ledger) Merge(now time.Time, updates []Update) bool {
 	changed := false
-	for _, w := range updates {
-		if w.isSound() && w.Seen < lapseAfter {
-			changed = l.merge(now, w) || changed
+	for _, u := range updates {
+		if u.isValid() && u.Seen < lapseAfter {
+			changed = l.merge(now, u) || changed
 		}
 	}
 	if changed {
 		l.limit()
-		l.judge()
+		l.updateVerdicts()
 	}
 	return changed
 }
 
-// isSound says whether an update can be taken in: none from the future, which would never
-// lapse, and no more than a gateway reports.
-func (w Update) isSound() bool {
-	if w.Content == "" || w.Seen < 0 || len(w.Ends) == 0 || len(w.Ends) > maxEnds {
+// isValid reports whether an update may be merged: it is not from the future, where it would
+// never expire, and has no more ends than a gateway sends.
+func (u Update) isValid() bool {
+	if u.Content == "" || u.Seen < 0 || len(u.Ends) == 0 || len(u.Ends) > maxEnds {
 		return false
 	}
-	return !slices.ContainsFunc(w.Ends, func(e End) bool {
+	return !slices.ContainsFunc(u.Ends, func(e End) bool {
 		return e.Target == "" || e.Ago < 0 || e.Ran < 0 || e.Excuse < None || e.Excuse > Cleared
 	})
 }
 
-func (l *Ledger) merge(now time.Time, w Update) bool {
-	kept := l.record(w.Content, w.Service)
+func (l *Ledger) merge(now time.Time, u Update) bool {
+	r := l.record(u.Content, u.Service)
 	changed := false
-	for _, told := range w.Ends {
-		changed = kept.take(now, told) || changed
+	for _, received := range u.Ends {
+		changed = r.mergeEnd(now, received) || changed
 	}
-	if seen := now.Add(-w.Seen); seen.After(kept.seen) {
-		changed = changed || seen.Sub(kept.told) >= toldAgainAfter
-		kept.seen = seen
+	if seen := now.Add(-u.Seen); seen.After(r.lastSeen) {
+		changed = changed || seen.Sub(r.lastSent) >= resendAfter
+		r.lastSeen = seen
 	}
 	if changed {
-		l.touch(kept)
+		l.markChanged(r)
 	}
 	return changed
 }
 
-// Since lists what changed since a position of this ledger, the earliest changes first, and
-// how far that comes: not all where it is much.
+// Since returns the records that changed since a position of this ledger, the earliest
+// changes first, and the position up to which they go, which is not the latest if there are
+// many.
 func (l *Ledger) Since(now time.Time, at changes.Position) ([]Update, changes.Position) {
 	after := l.log.After(at)
-	var lacking []changes.Change[Update]
+	var changed []changes.Change[Update]
 	for _, r := range l.records {
 		if r.version > after {
-			lacking = append(lacking, changes.Change[Update]{Version: r.version, Update: r.update(now)})
+			changed = append(changed, changes.Change[Update]{Version: r.version, Update: r.update(now)})
 		}
 	}
-	return changes.First(l.log, lacking, maxUpdates)
+	return changes.First(l.log, changed, maxUpdates)
 }
 
-// Updates lists all that is known of some requests, by their contents, in a fixed order.
+// Updates returns the records of some requests, by their contents, in a fixed order.
 func (l *Ledger) Updates(now time.Time, contents map[string]bool) []Update {
 	var updates []Update
 	for _, content := range slices.Sorted(maps.Keys(contents)) {
@@ -185,7 +186,7 @@
 	return updates
 }
 
-// record is what is known of a request; a new one where nothing is.
+// record returns the record of a request, or a new one if there is none.
 func (l *Ledger) record(content, service string) *record {
 	r, ok := l.records[content]
 	if !ok {
@@ -195,14 +196,14 @@
 	return r
 }
 
-// touch has a record sent to others again.
-func (l *Ledger) touch(r *record) {
+// markChanged marks a record to be sent to others.
+func (l *Ledger) markChanged(r *record) {
 	r.version = l.log.Next()
-	r.told = r.seen
+	r.lastSent = r.lastSeen
 }
 
-// limit forgets the requests with fewest ends, of these those that were not seen for
-// longest, until few enough are left.
+// limit drops records beyond maxRequests: those with the fewest ends, and among them those
+// that were not seen for longest.
 func (l *Ledger) limit() {
 	if len(l.records) <= maxRequests {
 		return
@@ -212,15 +213,15 @@
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(b.against(), a.against()), b.seen.Compare(a.seen), cmp.Compare(a.content, b.content))
+		return cmp.Or(cmp.Compare(b.unclearedEnds(), a.unclearedEnds()), b.lastSeen.Compare(a.lastSeen), cmp.Compare(a.content, b.content))
 	})
 	for _, r := range all[maxRequests:] {
 		delete(l.records, r.content)
 	}
 }
 
-// against is how many ends speak against the request of any caller.
-func (r *record) against() (n int) {
+// unclearedEnds returns how many ends count against the request, whatever its caller.
+func (r *record) unclearedEnds() (n int) {
 	for _, e := range r.ends {
 		if e.excuse < Cleared {
 			n++
@@ -229,25 +230,25 @@
 	return n
 }
 
-// take takes in an end that another gateway reported, and says whether it is new or has a
+// mergeEnd merges an end that another gateway sent, and reports whether it is new or has a
 // better excuse.
-func (r *record) take(now time.Time, told End) bool {
-	i := slices.IndexFunc(r.ends, func(e end) bool { return e.id == told.ID })
+func (r *record) mergeEnd(now time.Time, received End) bool {
+	i := slices.IndexFunc(r.ends, func(e end) bool { return e.id == received.ID })
 	if i >= 0 {
-		raised := r.ends[i].raise(told.Excuse)
+		raised := r.ends[i].raise(received.Excuse)
 		r.trim()
 		return raised
 	}
-	news := end{id: told.ID, target: told.Target, caller: told.Caller, at: now.Add(-told.Ago), ran: told.Ran, excuse: told.Excuse}
-	if len(r.ends) >= maxEnds && byWorth(news, r.ends[len(r.ends)-1]) >= 0 {
-		return false // it would be dropped at once
+	added := end{id: received.ID, target: received.Target, caller: received.Caller, at: now.Add(-received.Ago), ran: received.Ran, excuse: received.Excuse}
+	if len(r.ends) >= maxEnds && byPriority(added, r.ends[len(r.ends)-1]) >= 0 {
+		return false // trim would drop it at once
 	}
-	r.ends = append(r.ends, news)
+	r.ends = append(r.ends, added)
 	r.trim()
 	return true
 }
 
-// raise gives an end a better excuse, and says whether it had none as good.
+// raise gives an end a better excuse, and reports whether it is better than the present one.
 func (e *end) raise(excuse Excuse) bool {
 	if excuse <= e.excuse {
 		return false
@@ -256,26 +257,27 @@
 	return true
 }
 
-// byWorth orders ends by which of them are kept: cleared ones last. Of the others any will
-// do, but the same everywhere. Their times would not be: each gateway reckons them a little
-// later than the one that reported it, so that gateways would go on replacing each other's.
-func byWorth(a, b end) int {
+// byPriority orders ends by which of them are kept: cleared ones come last. The order of the
+// others is arbitrary but the same on all gateways. An order by time would not be: each
+// gateway computes times a little later than the one that sent the end, so that gateways
+// would go on replacing each other's ends.
+func byPriority(a, b end) int {
 	return cmp.Or(cmp.Compare(a.excuse, b.excuse), cmp.Compare(a.id, b.id))
 }
 
-// trim drops all but the ends that are most worth keeping.
+// trim drops all but the maxEnds ends of highest priority.
 func (r *record) trim() {
-	slices.SortFunc(r.ends, byWorth)
+	slices.SortFunc(r.ends, byPriority)
 	if len(r.ends) > maxEnds {
 		r.ends = slices.Clone(r.ends[:maxEnds])
 	}
 }
 
-// update is what others are sent of a request.
+// update returns the record as it is sent to others.
 func (r *record) update(now time.Time) Update {
-	w := Update{Content: r.content, Service: r.service, Seen: now.Sub(r.seen)}
+	u := Update{Content: r.content, Service: r.service, Seen: now.Sub(r.lastSeen)}
 	for _, e := range r.ends {
-		w.Ends = append(w.Ends, End{ID: e.id, Target: e.target, Caller: e.caller, Ago: now.Sub(e.at), Ran: e.ran, Excuse: e.excuse})
+		u.Ends = append(u.Ends, End{ID: e.id, Target: e.target, Caller: e.caller, Ago: now.Sub(e.at), Ran: e.ran, Excuse: e.excuse})
 	}
-	return w
+	return u
 }
--- a/core/gateway/quarantine/storm_test.go
+++ b/core/gateway/quarantine/storm_test.go
@@ -12,25 +12,25 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quarantine"
 )
 
-// storm is a service under fatal requests, on paper: targets of three slots that end a
-// request's time after they began to run a fatal one and are back some seconds later;
-// innocent requests of a rate, each with an own content, sent a second time and repeated
-// by their callers as in life.
+// storm simulates a service that receives fatal requests: targets of three slots that end
+// within a request's time after they began to run a fatal one and restart some seconds later;
+// innocent requests at a given rate, each with its own content, retried by the gateway and
+// repeated by their callers as in production.
 type storm struct {
 	random  *rand.Rand
 	ledger  *quarantine.Ledger
 	targets []stormTarget
 	ids     uint64
 	now     time.Duration
-	agenda  []stormEvent
-	// ended counts targets that ended, refused innocent attempts that were refused since
-	// they were quarantined.
+	queue   []stormEvent
+	// ended counts the targets that ended, refused the innocent attempts that were refused
+	// because of a quarantine.
 	ended, refused int
 }
 
 type stormTarget struct {
-	lives   int // how often it has started
-	back    time.Duration
+	starts  int // how often it has started
+	upAt    time.Duration
 	running []*stormRequest
 }
 
@@ -38,7 +38,7 @@
 	quarantine.Request
 	fatal           bool
 	sends, attempts int
-	began           time.Duration // of the latest send
+	began           time.Duration // the time of the latest send
 }
 
 type stormEvent struct {
@@ -47,20 +47,21 @@
 }
 
 const (
-	stormWork    = 90 * time.Millisecond
-	stormDown    = 3 * time.Second
-	stormTargets = 10
+	stormWorkTime = 90 * time.Millisecond
+	stormDownTime = 3 * time.Second
+	stormTargets  = 10
 )
 
-func (s *storm) later(d time.Duration, do func()) {
-	s.agenda = append(s.agenda, stormEvent{at: s.now + d, do: do})
+func (s *storm) schedule(d time.Duration, do func()) {
+	s.queue = append(s.queue, stormEvent{at: s.now + d, do: do})
 }
 
 func (s *storm) clock() time.Time { return start.Add(s.now) }
 
-// send sends a request to a target that is up and has room, or gives it up.
+// send sends a request to a target that is up and has a free slot, or leaves it to its caller
+// to repeat.
 func (s *storm) send(r *stormRequest) {
-	if s.ledger.Verdicts().Of(r.Print).IsQuarantined() {
+	if s.ledger.Verdicts().For(r.Fingerprint).IsQuarantined() {
 		if !r.fatal {
 			s.refused++
 		}
@@ -68,39 +69,39 @@
 	}
 	for _, i := range s.random.Perm(len(s.targets)) {
 		t := &s.targets[i]
-		if s.now < t.back || len(t.running) == 3 {
+		if s.now < t.upAt || len(t.running) == 3 {
 			continue
 		}
 		r.sends++
 		r.began = s.now
 		t.running = append(t.running, r)
-		life := t.lives
-		s.later(time.Duration((0.5+s.random.Float64())*float64(stormWork)), func() { s.end(i, life, r) })
+		incarnation := t.starts
+		s.schedule(time.Duration((0.5+s.random.Float64())*float64(stormWorkTime)), func() { s.end(i, incarnation, r) })
 		return
 	}
 	s.repeat(r)
 }
 
-// end ends a run: with an answer, or with the target.
-func (s *storm) end(i, life int, r *stormRequest) {
+// end ends a run, with an answer or with the end of its target.
+func (s *storm) end(i, incarnation int, r *stormRequest) {
 	t := &s.targets[i]
-	if t.lives != life {
+	if t.starts != incarnation {
 		return
 	}
 	if !r.fatal {
 		t.running = slices.DeleteFunc(t.running, func(other *stormRequest) bool { return other == r })
-		s.ledger.NoteAnswer(s.clock(), r.Request)
+		s.ledger.RecordAnswer(s.clock(), r.Request)
 		return
 	}
 	lost := t.running
-	*t = stormTarget{lives: life + 1, back: s.now + stormDown}
+	*t = stormTarget{starts: incarnation + 1, upAt: s.now + stormDownTime}
 	s.ended++
 	for _, other := range lost {
 		s.ids++
-		s.ledger.NoteEnd(s.clock(), other.Request, quarantine.End{ID: s.ids, Target: fmt.Sprint("i-", i), Ran: s.now - other.began})
+		s.ledger.RecordEnd(s.clock(), other.Request, quarantine.End{ID: s.ids, Target: fmt.Sprint("i-", i), Ran: s.now - other.began})
 	}
 	for _, other := range lost {
-		if other.sends < 2 && !s.ledger.Verdicts().Of(other.Print).IsSuspect() {
+		if other.sends < 2 && !s.ledger.Verdicts().For(other.Fingerprint).IsSuspect() {
 			s.send(other)
 			continue
 		}
@@ -108,45 +109,45 @@
 	}
 }
 
-// repeat has the caller of an innocent request send it again, twice at most; a fatal one
-// comes by itself.
+// repeat makes the caller of an innocent request send it again, twice at most; fatal requests
+// arrive independently.
 func (s *storm) repeat(r *stormRequest) {
 	if r.fatal || r.attempts == 2 {
 		return
 	}
 	r.attempts++
 	r.sends = 0
-	s.later(50*time.Millisecond, func() { s.send(r) })
+	s.schedule(50*time.Millisecond, func() { s.send(r) })
 }
 
-// arrive has requests of a rate come for as long as the storm lasts.
+// arrive generates requests at a rate for as long as the storm lasts.
 func (s *storm) arrive(rate float64, make func(n int) *stormRequest) {
 	n := 0
 	var next func()
 	next = func() {
 		n++
 		s.send(make(n))
-		s.later(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), next)
+		s.schedule(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), next)
 	}
-	s.later(0, next)
+	s.schedule(0, next)
 }
 
 func (s *storm) run(length time.Duration) {
 	for {
-		next := slices.MinFunc(s.agenda, func(a, b stormEvent) int { return int(a.at - b.at) })
+		next := slices.MinFunc(s.queue, func(a, b stormEvent) int { return int(a.at - b.at) })
 		if next.at > length {
 			return
 		}
-		i := slices.IndexFunc(s.agenda, func(e stormEvent) bool { return e.at == next.at })
-		s.agenda = slices.Delete(s.agenda, i, i+1)
+		i := slices.IndexFunc(s.queue, func(e stormEvent) bool { return e.at == next.at })
+		s.queue = slices.Delete(s.queue, i, i+1)
 		s.now = next.at
 		next.do()
 	}
 }
 
-// playStorm plays some fatal requests, each coming several times a second, beside 73
+// simulateStorm simulates some fatal requests, each coming several times a second, beside 73
 // innocent ones a second, for ten seconds.
-func playStorm(seed uint64, fatal int) *storm {
+func simulateStorm(seed uint64, fatal int) *storm {
 	s := &storm{random: rand.New(rand.NewPCG(seed, uint64(fatal))), ledger: quarantine.New(seed + 1), targets: make([]stormTarget, stormTargets)}
 	s.arrive(73, func(n int) *stormRequest {
 		return &stormRequest{Request: request(fmt.Sprint("innocent-", n), fmt.Sprint("c", n%70))}
@@ -160,23 +161,23 @@
 	return s
 }
 
-// Of the 730 requests beside fatal ones hardly any is refused though it is innocent.
-// Measured with one, two and four fatal requests at once, in 200 storms each: .000, .010 and
-// .120 refused a storm, 3.9, 7.4 and 13.9 targets ended. Where ends at the same moment count
-// each: .000, .005 and .110, with 3.5, 6.6 and 11.8. Where, besides, ends that a worse
-// request was part of count as well: .000, .040 and .235; where two ends are enough: .015,
-// .085 and .495, with 2.7, 5.3 and 9.4 targets ended.
-func TestHardlyAnyInnocentRequestIsQuarantinedInAStorm(t *testing.T) {
+// Hardly any of the 730 innocent requests beside fatal ones is refused. Measured with one, two
+// and four fatal requests at once, in 200 storms each: .000, .010 and .120 refused per storm,
+// 3.9, 7.4 and 13.9 targets ended. If simultaneous ends count separately: .000, .005 and .110,
+// with 3.5, 6.6 and 11.8. If, besides, ends that a worse request was part of count as well:
+// .000, .040 and .235; if two ends are enough: .015, .085 and .495, with 2.7, 5.3 and 9.4
+// targets ended.
+func TestFewInnocentRequestsAreQuarantinedInAStorm(t *testing.T) {
 	for fatal, most := range map[int]float64{1: 0.01, 2: 0.03, 4: 0.15} {
 		t.Run(fmt.Sprint(fatal, " fatal"), func(t *testing.T) {
 			refused, ended := 0, 0
 			const seeds = 200
 			for seed := range uint64(seeds) {
-				s := playStorm(seed, fatal)
+				s := simulateStorm(seed, fatal)
 				refused += s.refused
 				ended += s.ended
 			}
-			t.Logf("%.3f innocent attempts refused a storm, %.1f targets ended", float64(refused)/seeds, float64(ended)/seeds)
+			t.Logf("%.3f innocent attempts refused per storm, %.1f targets ended", float64(refused)/seeds, float64(ended)/seeds)
 			g := NewWithT(t)
 			g.Expect(float64(refused) / seeds).To(BeNumerically("<", most))
 			g.Expect(ended).To(BeNumerically("<", 4*fatal*seeds))
--- a/core/gateway/quarantine/verdicts.go
+++ b/core/gateway/quarantine/verdicts.go
@@ -10,53 +10,53 @@
 // anyCaller represents all callers of a request.
 const anyCaller = ""
 
-// Verdicts say which requests are quarantined, and which are suspect. The zero value has
-// none. They don't change, so that they may be read by many.
+// Verdicts tell which requests are quarantined, and which are suspect. The zero value has
+// none. They are immutable, so that they may be read concurrently.
 type Verdicts struct {
-	knows bool
-	of    map[fingerprint.Fingerprint]Verdict
+	hasRequests   bool
+	byFingerprint map[fingerprint.Fingerprint]Verdict
 }
 
-// Verdict is what becomes of a request.
+// Verdict tells how a request is treated.
 type Verdict struct {
-	service     string
-	targets     []string
-	moments     int
-	quarantined bool
+	service      string
+	targets      []string
+	separateEnds int
+	quarantined  bool
 }
 
-// IsQuarantined says that the request is sent to no target.
+// IsQuarantined reports whether the request is sent to no target.
 func (v Verdict) IsQuarantined() bool { return v.quarantined }
 
-// IsSuspect says that the request gets no second send: beside or after one that fails, it
+// IsSuspect reports whether the request gets no second send, be it a hedge or a retry: that
 // might cost another target.
-func (v Verdict) IsSuspect() bool { return v.quarantined || v.moments >= suspectEnds }
+func (v Verdict) IsSuspect() bool { return v.quarantined || v.separateEnds >= minEndsOfSuspect }
 
-// Targets are those that ended under the request, the first one first, but for those
-// whose end another request was to blame for.
+// Targets returns the targets that ended under the request, the first one first, without
+// those whose end is attributed to another request.
 func (v Verdict) Targets() []string { return v.targets }
 
-// Service is that of the first target that ended, as far as is known.
+// Service returns the service of the first target that ended, as far as is known.
 func (v Verdict) Service() string { return v.service }
 
-// IsEmpty says that nothing is known of any request, so that no fingerprint need be taken.
-// It does not go by service: a route may send a request to several, or be moved to another,
-// whose targets would end as well.
-func (v *Verdicts) IsEmpty() bool { return !v.knows }
+// IsEmpty reports whether no request is known, so that no fingerprint need be computed.
+// It does not depend on the service: a route may send a request to several services, or be
+// moved to another, whose targets would end as well.
+func (v *Verdicts) IsEmpty() bool { return !v.hasRequests }
 
-// Of is the verdict on a request.
-func (v *Verdicts) Of(print fingerprint.Fingerprint) Verdict {
-	if all, ok := v.of[fingerprint.Fingerprint{Content: print.Content, Caller: anyCaller}]; ok {
+// For returns the verdict on a request.
+func (v *Verdicts) For(print fingerprint.Fingerprint) Verdict {
+	if all, ok := v.byFingerprint[fingerprint.Fingerprint{Content: print.Content, Caller: anyCaller}]; ok {
 		return all
 	}
-	return v.of[print]
+	return v.byFingerprint[print]
 }
 
 // Quarantined lists the requests that are quarantined, in a fixed order; one without a
-// caller is quarantined for all.
+// caller is quarantined for all callers.
 func (v *Verdicts) Quarantined() []fingerprint.Fingerprint {
 	var list []fingerprint.Fingerprint
-	for print, verdict := range v.of {
+	for print, verdict := range v.byFingerprint {
 		if verdict.quarantined {
 			list = append(list, print)
 		}
@@ -65,7 +65,7 @@
 	return list
 }
 
-// suspect is a request of one caller, with the ends that speak against it.
+// suspect is a request of one caller, with the ends that count against it.
 type suspect struct {
 	record *record
 	caller string
@@ -76,44 +76,44 @@
 	return fingerprint.Fingerprint{Content: s.record.content, Caller: s.caller}
 }
 
-// judge works the verdicts out anew.
-func (l *Ledger) judge() {
-	v := &Verdicts{knows: len(l.records) > 0}
+// updateVerdicts computes the verdicts from the records.
+func (l *Ledger) updateVerdicts() {
+	v := &Verdicts{hasRequests: len(l.records) > 0}
 	suspects := l.suspects()
-	v.of = judgeEach(suspects, nil)
-	if taken := l.takenFromAll(v.of); len(taken) > 0 { // they excuse others as well
-		v.of = judgeEach(suspects, taken)
-		for _, s := range taken {
-			v.of[s.print()] = Verdict{service: s.record.service, targets: targetsOf(s.ends), quarantined: true}
+	v.byFingerprint = judgeCallers(suspects, nil)
+	if forAll := l.fatalForAllCallers(v.byFingerprint); len(forAll) > 0 { // ends are attributed to these, too
+		v.byFingerprint = judgeCallers(suspects, forAll)
+		for _, s := range forAll {
+			v.byFingerprint[s.print()] = Verdict{service: s.record.service, targets: targetsOf(s.ends), quarantined: true}
 		}
 	}
 	l.verdicts = v
 }
 
-// judgeEach gives the verdicts on single callers' requests; taken are the requests that
-// are quarantined whoever sends them.
-func judgeEach(suspects, taken []suspect) map[fingerprint.Fingerprint]Verdict {
-	of := map[fingerprint.Fingerprint]Verdict{}
-	blamed := blame{}
-	for group := range bySize(slices.Concat(suspects, taken)) {
-		var worst []suspect
+// judgeCallers returns the verdicts on single callers' requests; forAll are the requests that
+// are quarantined for all callers.
+func judgeCallers(suspects, forAll []suspect) map[fingerprint.Fingerprint]Verdict {
+	verdicts := map[fingerprint.Fingerprint]Verdict{}
+	attributed := attributions{}
+	for group := range bySize(slices.Concat(suspects, forAll)) {
+		var quarantined []suspect
 		for _, s := range group {
-			left := blamed.unexplained(s)
-			count := moments(left)
-			guilty := count >= ownEnds || s.caller == anyCaller
+			remaining := attributed.unattributed(s)
+			count := countSeparateEnds(remaining)
+			fatal := count >= minEndsOfOneCaller || s.caller == anyCaller
 			if s.caller != anyCaller && count > 0 {
-				of[s.print()] = Verdict{service: s.record.service, targets: targetsOf(left), moments: count, quarantined: guilty}
+				verdicts[s.print()] = Verdict{service: s.record.service, targets: targetsOf(remaining), separateEnds: count, quarantined: fatal}
 			}
-			if guilty {
-				worst = append(worst, s)
+			if fatal {
+				quarantined = append(quarantined, s)
 			}
 		}
-		blamed.add(worst)
+		attributed.add(quarantined)
 	}
-	return of
+	return verdicts
 }
 
-// suspects lists the requests of each caller that an end speaks against.
+// suspects lists the requests of each caller that an end counts against.
 func (l *Ledger) suspects() []suspect {
 	var list []suspect
 	for _, r := range l.records {
@@ -134,8 +134,9 @@
 	return list
 }
 
-// bySize gives the suspects in groups with as many ends, most first: what a greater one is
-// to blame for excuses the others, and of two with as many neither excuses the other.
+// bySize yields the suspects in groups with as many ends, most first: an end that is
+// attributed to a suspect of a larger group does not count against the others, and of two in
+// one group neither excuses the other.
 func bySize(suspects []suspect) func(yield func([]suspect) bool) {
 	slices.SortFunc(suspects, func(a, b suspect) int { return cmp.Compare(len(b.ends), len(a.ends)) })
 	return func(yield func([]suspect) bool) {
@@ -152,73 +153,74 @@
 	}
 }
 
-// takenFromAll are the requests that are quarantined whoever sends them: targets ended
-// under those of several callers, and nobody has got an answer. of are the verdicts on
+// fatalForAllCallers returns the requests that are quarantined for all callers: targets ended
+// under those of several callers, and no caller has got an answer. verdicts are those on
 // single callers' requests.
-func (l *Ledger) takenFromAll(of map[fingerprint.Fingerprint]Verdict) (taken []suspect) {
+func (l *Ledger) fatalForAllCallers(verdicts map[fingerprint.Fingerprint]Verdict) (forAll []suspect) {
 	for _, r := range l.records {
 		all := suspect{record: r, caller: anyCaller}
 		callers := map[string]bool{}
 		for _, e := range r.ends {
-			verdict := of[fingerprint.Fingerprint{Content: r.content, Caller: e.caller}]
+			verdict := verdicts[fingerprint.Fingerprint{Content: r.content, Caller: e.caller}]
 			if e.excuse > None || !slices.Contains(verdict.targets, e.target) {
 				continue
 			}
 			callers[e.caller] = true
 			all.add(e)
 		}
-		if moments(all.ends) >= allEnds && len(callers) > 1 {
-			taken = append(taken, all)
+		if countSeparateEnds(all.ends) >= minEndsOfAllCallers && len(callers) > 1 {
+			forAll = append(forAll, all)
 		}
 	}
-	return taken
+	return forAll
 }
 
-// add adds an end unless it is of a life of a target that is counted already.
+// add adds an end unless one of the same incarnation of the target is counted already.
 func (s *suspect) add(e end) {
 	if !slices.ContainsFunc(s.ends, e.isSame) {
 		s.ends = append(s.ends, e)
 	}
 }
 
-// blame holds, by target, the ends that quarantined requests are to blame for, and whose.
-type blame map[string][]blamedEnd
+// attributions holds, by target, the ends that are attributed to quarantined requests, and to
+// which.
+type attributions map[string][]attributedEnd
 
-type blamedEnd struct {
+type attributedEnd struct {
 	end
 	by fingerprint.Fingerprint
 }
 
-func (b blame) add(worst []suspect) {
-	for _, s := range worst {
+func (a attributions) add(quarantined []suspect) {
+	for _, s := range quarantined {
 		for _, e := range s.ends {
-			b[e.target] = append(b[e.target], blamedEnd{end: e, by: s.print()})
+			a[e.target] = append(a[e.target], attributedEnd{end: e, by: s.print()})
 		}
 	}
 }
 
-// unexplained are the ends of a suspect that no other quarantined request is to blame for.
-// One that is quarantined whoever sends it does not excuse its own callers.
-func (b blame) unexplained(s suspect) (left []end) {
+// unattributed returns the ends of a suspect that are not attributed to another quarantined
+// request. A request that is quarantined for all callers does not excuse its own callers.
+func (a attributions) unattributed(s suspect) (remaining []end) {
 	for _, e := range s.ends {
-		explains := func(other blamedEnd) bool {
+		explains := func(other attributedEnd) bool {
 			own := other.by.Caller == anyCaller && other.by.Content == s.record.content
 			return !own && e.isSame(other.end)
 		}
-		if !slices.ContainsFunc(b[e.target], explains) {
-			left = append(left, e)
+		if !slices.ContainsFunc(a[e.target], explains) {
+			remaining = append(remaining, e)
 		}
 	}
-	return left
+	return remaining
 }
 
-// moments counts the ends, those of one moment as one: targets that end together while they
-// run the same request were ended by something else, as when a hall loses power.
-func moments(ends []end) (n int) {
+// countSeparateEnds counts the ends, simultaneous ones as one: targets that end together while
+// they run the same request were ended by something else, as when a hall loses power.
+func countSeparateEnds(ends []end) (n int) {
 	var latest end
 	for _, e := range byTime(ends) {
 		began, since := e.at.Add(-e.ran), e.at.Sub(latest.at)
-		if n == 0 || since >= sameMoment || !began.Before(latest.at.Add(-onTheWay)) {
+		if n == 0 || since >= simultaneousWithin || !began.Before(latest.at.Add(-maxTransitTime)) {
 			n++
 			latest = e
 		}
@@ -230,7 +232,7 @@
 	return slices.SortedFunc(slices.Values(ends), func(a, b end) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.id, b.id)) })
 }
 
-// targetsOf lists the targets that ended, in the order in which they did.
+// targetsOf lists the targets that ended, in the order of their ends.
 func targetsOf(ends []end) []string {
 	ends = byTime(ends)
 	targets := make([]string, 0, len(ends))
--- a/internal/gateway/discovery/fatal_test.go
+++ b/internal/gateway/discovery/fatal_test.go
@@ -13,11 +13,11 @@
 )
 
 // fatalRequest is one under which targets end.
-var fatalRequest = quarantine.Request{Print: fingerprint.Fingerprint{Content: "fatal", Caller: "caller"}, Service: "shop"}
+var fatalRequest = quarantine.Request{Fingerprint: fingerprint.Fingerprint{Content: "fatal", Caller: "caller"}, Service: "shop"}
 
 // refuses says whether a gateway has the fatal request quarantined.
 func (g *gateway) refuses() bool {
-	print := func() fingerprint.Fingerprint { return fatalRequest.Print }
+	print := func() fingerprint.Fingerprint { return fatalRequest.Fingerprint }
 	return g.fatal.Verdict(print).IsQuarantined()
 }
 
@@ -34,7 +34,7 @@
 // told to others within a second.
 func endTargets(gateways []*gateway, targets int) {
 	for i := range targets {
-		gateways[i%len(gateways)].fatal.NoteEnd(fatalRequest, fmt.Sprint("t", i), 0)
+		gateways[i%len(gateways)].fatal.RecordEnd(fatalRequest, fmt.Sprint("t", i), 0)
 	}
 	time.Sleep(time.Second)
 	for _, g := range gateways {
@@ -55,7 +55,7 @@
 			endTargets(fleet.gateways, 2)
 			time.Sleep(time.Second)
 			g.Expect(slices.ContainsFunc(fleet.gateways, (*gateway).refuses)).To(BeFalse())
-			fleet.gateways[size-1].fatal.NoteEnd(fatalRequest, "t2", 0)
+			fleet.gateways[size-1].fatal.RecordEnd(fatalRequest, "t2", 0)
 			took := untilAllRefuse(fleet.gateways)
 			fleet.t.Logf("refused everywhere after %v", took)
 			g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
@@ -94,8 +94,8 @@
 	measure(t, 17, 1, func(g *WithT, fleet *bigFleet) {
 		bytes := fleet.fabric.all.Load()
 		for i := range 512 {
-			request := quarantine.Request{Print: fingerprint.Fingerprint{Content: fmt.Sprint("r", i), Caller: "caller"}, Service: "shop"}
-			fleet.gateways[i%17].fatal.NoteEnd(request, fmt.Sprint("t", i/8), 0)
+			request := quarantine.Request{Fingerprint: fingerprint.Fingerprint{Content: fmt.Sprint("r", i), Caller: "caller"}, Service: "shop"}
+			fleet.gateways[i%17].fatal.RecordEnd(request, fmt.Sprint("t", i/8), 0)
 		}
 		for range 5 {
 			time.Sleep(time.Second)
--- a/internal/gateway/fatal/fatal.go
+++ b/internal/gateway/fatal/fatal.go
@@ -77,34 +77,34 @@
 	if verdicts.IsEmpty() {
 		return quarantine.Verdict{}
 	}
-	return verdicts.Of(print())
+	return verdicts.For(print())
 }
 
-// NoteEnd notes that a target's process ended while it had a request under way, for a time
+// RecordEnd notes that a target's process ended while it had a request under way, for a time
 // then.
-func (r *Register) NoteEnd(request quarantine.Request, target string, ran time.Duration) {
-	r.note(func(now time.Time) bool {
-		r.ledger.NoteEnd(now, request, quarantine.End{ID: r.options.Draw(), Target: target, Ran: ran})
+func (r *Register) RecordEnd(request quarantine.Request, target string, ran time.Duration) {
+	r.apply(func(now time.Time) bool {
+		r.ledger.RecordEnd(now, request, quarantine.End{ID: r.options.Draw(), Target: target, Ran: ran})
 		return true
 	})
 }
 
-// NoteAnswer notes that a target has run a request and lives.
-func (r *Register) NoteAnswer(print func() fingerprint.Fingerprint) {
+// RecordAnswer notes that a target has run a request and lives.
+func (r *Register) RecordAnswer(print func() fingerprint.Fingerprint) {
 	if r.verdicts.Load().IsEmpty() {
 		return
 	}
-	request := quarantine.Request{Print: print()}
-	r.note(func(now time.Time) bool { return r.ledger.NoteAnswer(now, request) })
+	request := quarantine.Request{Fingerprint: print()}
+	r.apply(func(now time.Time) bool { return r.ledger.RecordAnswer(now, request) })
 }
 
-// NoteRefused notes that a quarantined request came again.
-func (r *Register) NoteRefused(request quarantine.Request) {
-	r.note(func(now time.Time) bool { return r.ledger.NoteRefused(now, request) })
+// RecordRefusal notes that a quarantined request came again.
+func (r *Register) RecordRefusal(request quarantine.Request) {
+	r.apply(func(now time.Time) bool { return r.ledger.RecordRefusal(now, request) })
 }
 
-// note changes the ledger, and notifies others if that is new.
-func (r *Register) note(change func(now time.Time) (isNew bool)) {
+// apply changes the ledger, and notifies others if that is new.
+func (r *Register) apply(change func(now time.Time) (isNew bool)) {
 	r.mu.Lock()
 	isNew := change(r.options.Clock())
 	r.publish(fromOwn)
@@ -116,7 +116,7 @@
 
 // Tick forgets what has lapsed and reports what was held back; it should be called each
 // second.
-func (r *Register) Tick() { r.note(func(now time.Time) bool { return r.ledger.Tick(now) }) }
+func (r *Register) Tick() { r.apply(func(now time.Time) bool { return r.ledger.Tick(now) }) }
 
 // Merge takes in what another gateway reported and says whether any of it is news here.
 func (r *Register) Merge(updates []quarantine.Update, from string) bool {
@@ -176,7 +176,7 @@
 	old, current := before.Quarantined(), now.Quarantined()
 	for _, print := range current {
 		if !slices.Contains(old, print) {
-			verdict := now.Of(print)
+			verdict := now.For(print)
 			r.options.Log.Warn("request quarantined", "content", print.Content, "caller", print.Caller,
 				"service", verdict.Service(), "targets", verdict.Targets(), "from", from)
 		}
@@ -184,7 +184,7 @@
 	for _, print := range old {
 		if !slices.Contains(current, print) {
 			r.options.Log.Info("request no longer quarantined", "content", print.Content, "caller", print.Caller,
-				"service", before.Of(print).Service(), "from", from)
+				"service", before.For(print).Service(), "from", from)
 		}
 	}
 }
--- a/internal/gateway/forward/answer.go
+++ b/internal/gateway/forward/answer.go
@@ -42,7 +42,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if f.Reason() == verdict.ReasonQuarantined {
-		h.options.Fatal.NoteRefused(req.forQuarantine())
+		h.options.Fatal.RecordRefusal(req.forQuarantine())
 	}
 	out := w.Header()
 	out.Set(h.options.Names.RequestID, req.id)
--- a/internal/gateway/forward/fatal.go
+++ b/internal/gateway/forward/fatal.go
@@ -16,7 +16,7 @@
 // took is how long the send had been under way.
 func (b *balancer) learnFatal(req *request, target catalog.Target, result sent, took time.Duration) (targetEnded bool) {
 	if result.outcome == outcome.Served {
-		b.options.Fatal.NoteAnswer(req.fingerprint)
+		b.options.Fatal.RecordAnswer(req.fingerprint)
 		return false
 	}
 	if result.outcome != outcome.Broken || !b.options.Pool.Refuses(context.Background(), target) {
@@ -24,14 +24,14 @@
 	}
 	b.options.Metrics.TargetEnded(req.service)
 	if result.failure.Verdict() != verdict.NotRun {
-		b.options.Fatal.NoteEnd(req.forQuarantine(), target.ID, took)
+		b.options.Fatal.RecordEnd(req.forQuarantine(), target.ID, took)
 	}
 	return true
 }
 
 // forQuarantine is the request as the quarantine knows it.
 func (r *request) forQuarantine() quarantine.Request {
-	return quarantine.Request{Print: r.fingerprint(), Service: r.service}
+	return quarantine.Request{Fingerprint: r.fingerprint(), Service: r.service}
 }
 
 // verdictOn says whether a request may be sent, and sent a second time.
--- a/internal/gateway/forward/fatal_test.go
+++ b/internal/gateway/forward/fatal_test.go
@@ -175,7 +175,7 @@
 	go func() { got <- f.put(orderPath, "caller", fatalBody) }()
 	g.Consistently(got, "50ms").ShouldNot(Receive())
 	for i := range 3 {
-		register.NoteEnd(quarantine.Request{Print: print, Service: "shop"}, fmt.Sprint("elsewhere-", i), 0)
+		register.RecordEnd(quarantine.Request{Fingerprint: print, Service: "shop"}, fmt.Sprint("elsewhere-", i), 0)
 	}
 	s.setLoad("0,0,3,100")
 	var refused result
@@ -202,7 +202,7 @@
 			f.start()
 			print := f.printOf(t, logged, readPath, "caller", fatalBody) // broken off, by targets that live
 			for i := range c.ends {
-				register.NoteEnd(quarantine.Request{Print: print, Service: "shop"}, fmt.Sprint("elsewhere-", i), 0)
+				register.RecordEnd(quarantine.Request{Fingerprint: print, Service: "shop"}, fmt.Sprint("elsewhere-", i), 0)
 			}
 			before := first.runs.Load() + second.runs.Load()
 			g.Expect(f.put(readPath, "caller", fatalBody).status).To(Equal(http.StatusBadGateway))
