--- a/core/member/home.go
+++ b/core/member/home.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Home works out the home of a service: by rendezvous hashing among the usable
-// boxes, those in the preferred hall first. Without any it is the box itself.
+// Home returns the home of a service: the first by rendezvous hashing among the usable
+// boxes, those in the preferred hall first. If none is usable it is the box itself.
 func (v *View) Home(now time.Time, service, hall string) Box {
 	best := v.self
 	found := !v.self.Leaving
 	for id, e := range v.boxes {
-		if !v.Usable(now, id) {
+		if !v.IsUsable(now, id) {
 			continue
 		}
 		if !found || ranksAbove(e.Box, best, service, hall) {
@@ -31,27 +31,27 @@
 	return score(service, a.ID) > score(service, b.ID)
 }
 
-// neighbours is how many boxes a box exchanges updates with. The links that they need
-// do not grow with the fleet, and an update still reaches all in a number of rounds
-// that grows with the fleet's logarithm.
-const neighbours = 10
+// maxNeighbours is how many boxes a box exchanges updates with. The number of links that this
+// takes per box does not grow with the fleet, and an update still reaches all in a number of
+// rounds that grows with the fleet's logarithm.
+const maxNeighbours = 10
 
-// Sample picks up to n of the box's neighbours at random, leaving and suspect
-// ones among them: they, too, have updates, and an answer clears the suspicion.
-func (v *View) Sample(random *rand.Rand, n int) []Box {
+// SampleNeighbours picks up to n of the box's neighbours at random. Leaving and suspected
+// boxes are included: they have updates as well, and an answer clears the suspicion.
+func (v *View) SampleNeighbours(random *rand.Rand, n int) []Box {
 	type scored struct {
 		Box
 		score uint64
 	}
-	near := make([]scored, 0, len(v.boxes))
+	neighbours := make([]scored, 0, len(v.boxes))
 	for id, e := range v.boxes {
-		near = append(near, scored{e.Box, score(v.self.ID, id)})
+		neighbours = append(neighbours, scored{e.Box, score(v.self.ID, id)})
 	}
-	slices.SortFunc(near, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
-	near = near[:min(neighbours, len(near))]
-	random.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
+	slices.SortFunc(neighbours, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
+	neighbours = neighbours[:min(maxNeighbours, len(neighbours))]
+	random.Shuffle(len(neighbours), func(i, j int) { neighbours[i], neighbours[j] = neighbours[j], neighbours[i] })
 	out := make([]Box, 0, n)
-	for _, b := range near[:min(n, len(near))] {
+	for _, b := range neighbours[:min(n, len(neighbours))] {
 		out = append(out, b.Box)
 	}
 	return out
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -28,7 +28,7 @@
 		return out
 	}
 
-	It("names the same home on every box, in the preferred hall, and moves few when one goes", func() {
+	It("returns the same home on every box, in the preferred hall, and moves few services when a box leaves", func() {
 		all := boxes(8)
 		moved := 0
 		for s := range 100 {
@@ -36,7 +36,7 @@
 			var first member.Box
 			for i, self := range all {
 				v := member.New(self)
-				v.SetList(now, all)
+				v.MergeList(now, all)
 				home := v.Home(now, service, "south")
 				if i == 0 {
 					first = home
@@ -45,8 +45,8 @@
 				Expect(home.Hall).To(Equal("south"))
 			}
 			v := member.New(all[0])
-			v.SetList(now, all)
-			v.Leave(now, "box-1")
+			v.MergeList(now, all)
+			v.MarkLeaving(now, "box-1")
 			if v.Home(now, service, "south").ID != first.ID {
 				moved++
 				Expect(first.ID).To(Equal("box-1"))
@@ -55,38 +55,38 @@
 		Expect(moved).To(BeNumerically("~", 25, 15))
 	})
 
-	It("passes a silent box over, for longer each time, until it is heard again", func() {
+	It("skips a box that does not answer, for longer each time, until it answers", func() {
 		v := member.New(member.Box{ID: "self", Start: 1})
-		v.SetList(now, boxes(1))
-		v.Fail(now, "box-0")
-		Expect(v.Usable(now, "box-0")).To(BeFalse())
+		v.MergeList(now, boxes(1))
+		v.RecordFailure(now, "box-0")
+		Expect(v.IsUsable(now, "box-0")).To(BeFalse())
 		later := now.Add(600 * time.Millisecond)
-		Expect(v.Usable(later, "box-0")).To(BeTrue())
-		v.Fail(later, "box-0")
-		Expect(v.Usable(later.Add(600*time.Millisecond), "box-0")).To(BeFalse())
+		Expect(v.IsUsable(later, "box-0")).To(BeTrue())
+		v.RecordFailure(later, "box-0")
+		Expect(v.IsUsable(later.Add(600*time.Millisecond), "box-0")).To(BeFalse())
 		v.Observe(later, member.Box{ID: "box-0", Start: 1})
-		Expect(v.Usable(later, "box-0")).To(BeTrue())
+		Expect(v.IsUsable(later, "box-0")).To(BeTrue())
 	})
 
-	It("never takes leaving back for one start, whatever a lagging list says", func() {
+	It("keeps a box leaving until it restarts, whatever a lagging list has", func() {
 		v := member.New(member.Box{ID: "self", Start: 1})
-		v.SetList(now, boxes(1))
-		v.Leave(now, "box-0")
-		v.SetList(now, boxes(1))
-		Expect(v.Usable(now, "box-0")).To(BeFalse())
-		v.Learn(now, member.Box{ID: "box-0", Start: 2})
-		Expect(v.Usable(now, "box-0")).To(BeTrue())
+		v.MergeList(now, boxes(1))
+		v.MarkLeaving(now, "box-0")
+		v.MergeList(now, boxes(1))
+		Expect(v.IsUsable(now, "box-0")).To(BeFalse())
+		v.MergeBox(now, member.Box{ID: "box-0", Start: 2})
+		Expect(v.IsUsable(now, "box-0")).To(BeTrue())
 	})
 
 	It("is its own home when no other box is usable, even while it leaves", func() {
 		v := member.New(member.Box{ID: "self", Start: 1})
 		v.SetLeaving()
 		Expect(v.Home(now, "s", "north").ID).To(Equal("self"))
-		v.SetList(now, boxes(1))
+		v.MergeList(now, boxes(1))
 		Expect(v.Home(now, "s", "north").ID).To(Equal("box-0"))
 	})
 
-	It("lets news reach every box of a large fleet in few rounds, over few links", func() {
+	It("spreads an update to every box of a large fleet in few rounds, over few links", func() {
 		const fleet = 870
 		all := boxes(fleet)
 		random := rand.New(rand.NewPCG(1, 1))
@@ -94,31 +94,31 @@
 		links := map[string]map[string]bool{}
 		for i, self := range all {
 			views[i] = member.New(self)
-			views[i].SetList(now, all)
+			views[i].MergeList(now, all)
 			links[self.ID] = map[string]bool{}
 		}
 		index := map[string]int{}
 		for i, b := range all {
 			index[b.ID] = i
 		}
-		knows := make([]bool, fleet)
-		knows[0] = true
+		informed := make([]bool, fleet)
+		informed[0] = true
 		rounds := 0
-		for known := 1; known < fleet; rounds++ {
-			next := slices.Clone(knows)
+		for count := 1; count < fleet; rounds++ {
+			next := slices.Clone(informed)
 			for i, v := range views {
-				for _, b := range v.Sample(random, 3) {
+				for _, b := range v.SampleNeighbours(random, 3) {
 					links[all[i].ID][b.ID] = true
-					if knows[i] || knows[index[b.ID]] { // news goes both ways
+					if informed[i] || informed[index[b.ID]] { // updates go both ways
 						next[i], next[index[b.ID]] = true, true
 					}
 				}
 			}
-			knows = next
-			known = 0
-			for _, k := range knows {
+			informed = next
+			count = 0
+			for _, k := range informed {
 				if k {
-					known++
+					count++
 				}
 			}
 		}
@@ -128,9 +128,9 @@
 		}
 	})
 
-	It("passes on only boxes that were heard from lately, and forgets those that nobody names", func() {
+	It("forwards only boxes that were seen lately, and removes those that nobody names", func() {
 		v := member.New(member.Box{ID: "self", Start: 1})
-		v.SetList(now, boxes(2))
+		v.MergeList(now, boxes(2))
 		v.Observe(now, member.Box{ID: "box-1", Start: 1})
 		Expect(v.Recent(now, 9)).To(HaveLen(1))
 		Expect(v.Recent(now.Add(6*time.Second), 9)).To(BeEmpty())
--- a/internal/box/grant/members.go
+++ b/internal/box/grant/members.go
@@ -44,7 +44,7 @@
 func (m *Members) SetList(boxes []member.Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.SetList(m.clock(), boxes)
+	m.view.MergeList(m.clock(), boxes)
 	m.closeUnused()
 }
 
@@ -66,21 +66,21 @@
 func (m *Members) Learn(b member.Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Learn(m.clock(), b)
+	m.view.MergeBox(m.clock(), b)
 }
 
 // Leaving notes that a box said that it leaves.
 func (m *Members) Leaving(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Leave(m.clock(), id)
+	m.view.MarkLeaving(m.clock(), id)
 }
 
 // Fail notes that a box did not answer.
 func (m *Members) Fail(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Fail(m.clock(), id)
+	m.view.RecordFailure(m.clock(), id)
 }
 
 // Observe takes in news of a box from itself.
@@ -109,7 +109,7 @@
 func (m *Members) Usable(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Usable(m.clock(), id)
+	return m.view.IsUsable(m.clock(), id)
 }
 
 // Home works out the home of a service.
@@ -137,7 +137,7 @@
 func (m *Members) Sample(random *rand.Rand, n int) []member.Box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Sample(random, n)
+	return m.view.SampleNeighbours(random, n)
 }
 
 // Link is the connection to a box.
--- a/internal/gateway/fatal/fatal.go
+++ b/internal/gateway/fatal/fatal.go
@@ -1,15 +1,15 @@
-// Package fatal keeps what this gateway knows of requests under which targets ended, its
-// own observations and those of other gateways, and gives the data path the verdicts.
+// Package fatal holds what this gateway knows of requests under which targets ended, from its
+// own observations and those of other gateways, and provides the verdicts to the data path.
 //
-// It owns the ledger (core/gateway/quarantine, which has the rule) under one lock, the log
-// lines of what is quarantined, and nothing that must last. The data path
-// (internal/gateway/forward) notes ends and answers and asks for verdicts; the exchange
-// between gateways (internal/gateway/discovery) passes updates on.
+// It guards the ledger (core/gateway/quarantine, which has the rule) with a lock and logs
+// which requests are quarantined; it stores nothing durably. The data path
+// (internal/gateway/forward) records ends and answers and looks up verdicts; the exchange
+// between gateways (internal/gateway/discovery) forwards updates.
 //
 // # Usage
 //
 //	register := fatal.New(fatal.Options{Log: log})
-//	register.NoteEnd(request, "i-1", took)
+//	register.RecordEnd(request, "i-1", took)
 //	if register.Verdict(fingerprint).IsQuarantined() {
 //		// refuse the request
 //	}
@@ -28,18 +28,18 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quarantine"
 )
 
-// fromOwn names this gateway's own observations in log lines.
+// fromOwn stands for this gateway's own observations in log lines.
 const fromOwn = "own"
 
 // Options configure a Register; zero values are usable.
 type Options struct {
 	Clock func() time.Time
 	Log   *slog.Logger
-	// Draw gives numbers that no other gateway draws as well.
+	// Draw returns random numbers that no other gateway draws as well.
 	Draw func() uint64
 }
 
-// Register holds what is known of requests that end targets. It is safe for concurrent
+// Register holds what is known of requests under which targets end. It is safe for concurrent
 // use.
 type Register struct {
 	options  Options
@@ -50,7 +50,7 @@
 	notify func()
 }
 
-// New makes a register that knows of no request.
+// New returns an empty register.
 func New(o Options) *Register {
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -66,12 +66,12 @@
 	return r
 }
 
-// OnUpdate has a function called, without any lock held, once there is something that other
-// gateways should learn of. It must be set before the register is used by others.
+// OnUpdate sets a function that is called, without any lock held, when there is something new
+// to send to other gateways. It must be set before the register is used by others.
 func (r *Register) OnUpdate(notify func()) { r.notify = notify }
 
-// Verdict is that on a request. Its fingerprint is taken only where anything is known: that
-// reads its body once more.
+// Verdict returns the verdict on a request. The fingerprint is computed only if any request is
+// known, since that reads the request's body once more.
 func (r *Register) Verdict(print func() fingerprint.Fingerprint) quarantine.Verdict {
 	verdicts := r.verdicts.Load()
 	if verdicts.IsEmpty() {
@@ -80,8 +80,8 @@
 	return verdicts.For(print())
 }
 
-// RecordEnd notes that a target's process ended while it had a request under way, for a time
-// then.
+// RecordEnd records that a target's process ended while it had a request under way, and how
+// long it had run it.
 func (r *Register) RecordEnd(request quarantine.Request, target string, ran time.Duration) {
 	r.apply(func(now time.Time) bool {
 		r.ledger.RecordEnd(now, request, quarantine.End{ID: r.options.Draw(), Target: target, Ran: ran})
@@ -89,7 +89,7 @@
 	})
 }
 
-// RecordAnswer notes that a target has run a request and lives.
+// RecordAnswer records that a target has run a request and is still running.
 func (r *Register) RecordAnswer(print func() fingerprint.Fingerprint) {
 	if r.verdicts.Load().IsEmpty() {
 		return
@@ -98,12 +98,12 @@
 	r.apply(func(now time.Time) bool { return r.ledger.RecordAnswer(now, request) })
 }
 
-// RecordRefusal notes that a quarantined request came again.
+// RecordRefusal records that a quarantined request came again.
 func (r *Register) RecordRefusal(request quarantine.Request) {
 	r.apply(func(now time.Time) bool { return r.ledger.RecordRefusal(now, request) })
 }
 
-// apply changes the ledger, and notifies others if that is new.
+// apply applies a change to the ledger, and calls the function of OnUpdate if it is new.
 func (r *Register) apply(change func(now time.Time) (isNew bool)) {
 	r.mu.Lock()
 	isNew := change(r.options.Clock())
@@ -114,11 +114,11 @@
 	}
 }
 
-// Tick forgets what has lapsed and reports what was held back; it should be called each
-// second.
+// Tick drops expired records and releases those whose first end was delayed; it should be
+// called each second.
 func (r *Register) Tick() { r.apply(func(now time.Time) bool { return r.ledger.Tick(now) }) }
 
-// Merge takes in what another gateway reported and says whether any of it is news here.
+// Merge merges updates from another gateway, and reports whether they change anything.
 func (r *Register) Merge(updates []quarantine.Update, from string) bool {
 	if len(updates) == 0 {
 		return false
@@ -132,21 +132,22 @@
 	return isNew
 }
 
-// Since lists what changed since a position, and how far that comes.
+// Since returns the records that changed since a position, and the position up to which they
+// go.
 func (r *Register) Since(at changes.Position) ([]quarantine.Update, changes.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.Since(r.options.Clock(), at)
 }
 
-// Position is how far the register has come.
+// Position returns the position of the register's latest change.
 func (r *Register) Position() changes.Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.Position()
 }
 
-// QuarantinedUpdates is all that is known of quarantined requests, with their fingerprints.
+// QuarantinedUpdates returns the records of quarantined requests, with their fingerprints.
 func (r *Register) QuarantinedUpdates() (updates []quarantine.Update, prints []string) {
 	quarantined := r.verdicts.Load().Quarantined()
 	if len(quarantined) == 0 {
@@ -162,11 +163,11 @@
 	return r.ledger.Updates(r.options.Clock(), contents), prints
 }
 
-// Quarantined is how many requests are quarantined.
+// Quarantined returns the number of quarantined requests.
 func (r *Register) Quarantined() int { return len(r.verdicts.Load().Quarantined()) }
 
-// publish gives the data path the verdicts, and logs what is quarantined now that was not
-// before, and what no longer is; the lock is held.
+// publish provides the verdicts to the data path, and logs which requests are now quarantined
+// and which no longer are; the caller holds the lock.
 func (r *Register) publish(from string) {
 	before, now := r.verdicts.Load(), r.ledger.Verdicts()
 	if before == now {
