--- a/core/gateway/catalog/catalog.go
+++ b/core/gateway/catalog/catalog.go
@@ -116,7 +116,7 @@
 	rollouts       table[Rollout]
 }
 
-// New makes an empty catalog.
+// New returns an empty catalog.
 func New() *Catalog {
 	return &Catalog{
 		targets: newTable[Target](), incarnations: incarnations{},
@@ -137,7 +137,7 @@
 // Config returns the body of the configuration.
 func (c *Catalog) Config() []byte { return c.config }
 
-// Targets lists the targets by id.
+// Targets lists the targets, ordered by id.
 func (c *Catalog) Targets() []Target { return c.targets.list() }
 
 // LoadStale fills the parts of the catalog that were never read with a stale copy of the
--- a/core/gateway/catalog/evacuation.go
+++ b/core/gateway/catalog/evacuation.go
@@ -11,7 +11,7 @@
 	Gone       bool
 }
 
-// Evacuations lists the evacuations by hall.
+// Evacuations lists the evacuations, ordered by hall.
 func (c *Catalog) Evacuations() []Evacuation { return c.evacuations.list() }
 
 // IsEvacuated reports whether a hall is evacuated.
--- a/core/gateway/catalog/rollout.go
+++ b/core/gateway/catalog/rollout.go
@@ -69,7 +69,7 @@
 	Gone     bool
 }
 
-// Rollouts lists the rollouts by service.
+// Rollouts lists the rollouts, ordered by service.
 func (c *Catalog) Rollouts() []Rollout { return c.rollouts.list() }
 
 // Rollout returns the rollout of a service.
--- a/core/gateway/quarantine/quarantine.go
+++ b/core/gateway/quarantine/quarantine.go
@@ -3,7 +3,7 @@
 // sent again, would take down one target after the other.
 //
 // The package holds what is known of such requests (Ledger), and the rule. When a target
-// ends, all its requests under way are lost, and most are innocent: they ran beside a fatal
+// ends, all its requests under way are lost, and most are harmless: they ran beside a fatal
 // one, or the target was killed. So the rule considers three things:
 //
 //   - Three targets must have ended under the same request of the same caller, or four
@@ -45,7 +45,7 @@
 	// callers who have never sent it.
 	minEndsOfAllCallers = 4
 	// minEndsOfSuspect is from how many ends on a request gets no second send: each send might
-	// cost one more target, and few innocent requests get that far.
+	// cost one more target, and few harmless requests get that far.
 	minEndsOfSuspect = 2
 	// lapseAfter is how long after it was last seen a request is forgotten, so that it
 	// may be tried again. If it is still fatal, each try costs three targets; the value was
--- a/core/gateway/quarantine/quarantine_test.go
+++ b/core/gateway/quarantine/quarantine_test.go
@@ -362,7 +362,7 @@
 	// Output: true
 }
 
-// A hall loses power, or the path to it is reset, while a caller has the same innocent request
+// A hall loses power, or the path to it is reset, while a caller has the same harmless request
 // under way at many of its targets. They end together, so the request did not end them.
 func TestSimultaneousEndsCountOnce(t *testing.T) {
 	g := NewWithT(t)
--- a/core/gateway/quarantine/storm_test.go
+++ b/core/gateway/quarantine/storm_test.go
@@ -14,7 +14,7 @@
 
 // storm simulates a service that receives fatal requests: targets of three slots that end
 // within a request's time after they began to run a fatal one and restart some seconds later;
-// innocent requests at a given rate, each with its own content, retried by the gateway and
+// harmless requests at a given rate, each with its own content, retried by the gateway and
 // repeated by their callers as in production.
 type storm struct {
 	random  *rand.Rand
@@ -23,7 +23,7 @@
 	ids     uint64
 	now     time.Duration
 	queue   []stormEvent
-	// ended counts the targets that ended, refused the innocent attempts that were refused
+	// ended counts the targets that ended, refused the harmless attempts that were refused
 	// because of a quarantine.
 	ended, refused int
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-// repeat makes the caller of an innocent request send it again, twice at most; fatal requests
+// repeat makes the caller of an harmless request send it again, twice at most; fatal requests
 // arrive independently.
 func (s *storm) repeat(r *stormRequest) {
 	if r.fatal || r.attempts == 2 {
@@ -146,11 +146,11 @@
 }
 
 // simulateStorm simulates some fatal requests, each coming several times a second, beside 73
-// innocent ones a second, for ten seconds.
+// harmless ones a second, for ten seconds.
 func simulateStorm(seed uint64, fatal int) *storm {
 	s := &storm{random: rand.New(rand.NewPCG(seed, uint64(fatal))), ledger: quarantine.New(seed + 1), targets: make([]stormTarget, stormTargets)}
 	s.arrive(73, func(n int) *stormRequest {
-		return &stormRequest{Request: request(fmt.Sprint("innocent-", n), fmt.Sprint("c", n%70))}
+		return &stormRequest{Request: request(fmt.Sprint("harmless-", n), fmt.Sprint("c", n%70))}
 	})
 	for i := range fatal {
 		s.arrive(5, func(int) *stormRequest {
@@ -161,13 +161,13 @@
 	return s
 }
 
-// Hardly any of the 730 innocent requests beside fatal ones is refused. Measured with one, two
+// Hardly any of the 730 harmless requests beside fatal ones is refused. Measured with one, two
 // and four fatal requests at once, in 200 storms each: .000, .010 and .120 refused per storm,
 // 3.9, 7.4 and 13.9 targets ended. If simultaneous ends count separately: .000, .005 and .110,
 // with 3.5, 6.6 and 11.8. If, besides, ends that a worse request was part of count as well:
 // .000, .040 and .235; if two ends are enough: .015, .085 and .495, with 2.7, 5.3 and 9.4
 // targets ended.
-func TestFewInnocentRequestsAreQuarantinedInAStorm(t *testing.T) {
+func TestFewHarmlessRequestsAreQuarantinedInAStorm(t *testing.T) {
 	for fatal, most := range map[int]float64{1: 0.01, 2: 0.03, 4: 0.15} {
 		t.Run(fmt.Sprint(fatal, " fatal"), func(t *testing.T) {
 			refused, ended := 0, 0
@@ -177,7 +177,7 @@
 				refused += s.refused
 				ended += s.ended
 			}
-			t.Logf("%.3f innocent attempts refused per storm, %.1f targets ended", float64(refused)/seeds, float64(ended)/seeds)
+			t.Logf("%.3f harmless attempts refused per storm, %.1f targets ended", float64(refused)/seeds, float64(ended)/seeds)
 			g := NewWithT(t)
 			g.Expect(float64(refused) / seeds).To(BeNumerically("<", most))
 			g.Expect(ended).To(BeNumerically("<", 4*fatal*seeds))
--- a/core/gateway/quarantine/verdicts.go
+++ b/core/gateway/quarantine/verdicts.go
@@ -80,9 +80,9 @@
 func (l *Ledger) updateVerdicts() {
 	v := &Verdicts{hasRequests: len(l.records) > 0}
 	suspects := l.suspects()
-	v.byFingerprint = judgeCallers(suspects, nil)
+	v.byFingerprint = computeVerdicts(suspects, nil)
 	if forAll := l.fatalForAllCallers(v.byFingerprint); len(forAll) > 0 { // ends are attributed to these, too
-		v.byFingerprint = judgeCallers(suspects, forAll)
+		v.byFingerprint = computeVerdicts(suspects, forAll)
 		for _, s := range forAll {
 			v.byFingerprint[s.print()] = Verdict{service: s.record.service, targets: targetsOf(s.ends), quarantined: true}
 		}
@@ -90,9 +90,9 @@
 	l.verdicts = v
 }
 
-// judgeCallers returns the verdicts on single callers' requests; forAll are the requests that
+// computeVerdicts returns the verdicts on single callers' requests; forAll are the requests that
 // are quarantined for all callers.
-func judgeCallers(suspects, forAll []suspect) map[fingerprint.Fingerprint]Verdict {
+func computeVerdicts(suspects, forAll []suspect) map[fingerprint.Fingerprint]Verdict {
 	verdicts := map[fingerprint.Fingerprint]Verdict{}
 	attributed := attributions{}
 	for group := range bySize(slices.Concat(suspects, forAll)) {
--- a/core/gateway/reader/reader_test.go
+++ b/core/gateway/reader/reader_test.go
@@ -30,7 +30,7 @@
 		return s
 	}
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	half := reader.Delay(0.5, 500*time.Millisecond) // of the spread between Alone and Last
+	half := reader.Delay(0.5, 500*time.Millisecond) // of the spread between OthersFrom and OthersBy
 	for name, c := range map[string]struct {
 		state reader.State
 		want  time.Duration
