--- a/core/gateway/quota/advertised.go
+++ b/core/gateway/quota/advertised.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// leastRate represents a smaller limit that a target names: somebody must still meet it
+	// minRate represents a smaller limit that a target names: somebody must still meet it
 	// now and then, to learn that it takes more.
-	leastRate = 0.2
-	// mostRate is a limit, in requests a second, beyond which none is held: no gateway sends
+	minRate = 0.2
+	// maxRate is a limit, in requests a second, beyond which none is held: no gateway sends
 	// one target as many.
-	mostRate = 100_000
+	maxRate = 100_000
 	// asksPerRequest and leastAsks are how many questions a second a home wants for a target,
 	// for each request a second that it takes and at least: enough that none of its credit is
 	// left over. Each comes behind a probe, which takes time from the target's work.
 	asksPerRequest = 4.0
-	leastAsks      = 8.0
+	minAskRate     = 8.0
 	// maxTargetPause bounds for how long a gateway passes a target over without a probe. It
 	// learns of others that there is no limit any more, unless an update is lost.
 	maxTargetPause = 30 * time.Second
-	// onTheWay is for how long an answer may have been on its way that a gateway gets.
-	onTheWay = 100 * time.Millisecond
+	// maxReplyDelay is for how long an answer may have been on its way that a gateway gets.
+	maxReplyDelay = 100 * time.Millisecond
 	// targetBurst and targetBurstSeconds are what the bucket of a target holds: a request, and
 	// what is earned in so long while nobody asks.
 	targetBurst        = 1.0
@@ -52,97 +52,97 @@
 		}
 		smallest = min(smallest, rate)
 	}
-	if smallest > mostRate {
+	if smallest > maxRate {
 		return Advertised{}, nil
 	}
-	return Advertised{Rate: max(smallest, leastRate)}, nil
+	return Advertised{Rate: max(smallest, minRate)}, nil
 }
 
 // Limit is the limit that holds for the target.
-func (t Advertised) Limit() Limit {
-	if t.Rate == 0 {
+func (a Advertised) Limit() Limit {
+	if a.Rate == 0 {
 		return Limit{}
 	}
-	return Limit{Rate: t.Rate, Burst: targetBurst + targetBurstSeconds*t.Rate}
+	return Limit{Rate: a.Rate, Burst: targetBurst + targetBurstSeconds*a.Rate}
 }
 
-func targetAsking(rate float64) asking {
-	return asking{rate: max(asksPerRequest*rate, leastAsks), maxPause: maxTargetPause}
+func targetAsking(rate float64) askBounds {
+	return askBounds{rate: max(asksPerRequest*rate, minAskRate), maxPause: maxTargetPause}
 }
 
-// Via is the kind of answer by which a target reports its limit.
-type Via int
+// Source is the kind of answer by which a target reports its limit.
+type Source int
 
 // The kinds of answers.
 const (
-	// ViaAnswer is the answer to a request.
-	ViaAnswer Via = iota
-	// ViaProbe is the answer to a health probe.
-	ViaProbe
-	// ViaHome is an answer of the home, which other gateways reported it to.
-	ViaHome
-	// ViaGateway is an update from another gateway.
-	ViaGateway
-	// ViaLapse is no update: the target was not met for long.
-	ViaLapse
+	// SourceAnswer is the answer to a request.
+	SourceAnswer Source = iota
+	// SourceProbe is the answer to a health probe.
+	SourceProbe
+	// SourceHome is an answer of the home, which other gateways reported it to.
+	SourceHome
+	// SourceGateway is an update from another gateway.
+	SourceGateway
+	// SourceExpiry is no update: the target was not met for long.
+	SourceExpiry
 )
 
 // String is how log lines name it.
-func (v Via) String() string { return [...]string{"answer", "probe", "home", "gateway", "lapse"}[v] }
+func (s Source) String() string { return [...]string{"answer", "probe", "home", "gateway", "lapse"}[s] }
 
-// Named is the limit that one target names, as a gateway knows it. The zero Named is that of
+// KnownLimit is the limit that one target names, as a gateway knows it. The zero KnownLimit is that of
 // a target of which nothing was learnt. It is not safe for concurrent use.
-type Named struct {
+type KnownLimit struct {
 	advertised Advertised
 	at         time.Time
-	// turned is when a limit was first named, or lifted, last.
-	turned time.Time
-	// inProbes says that its answers to probes name limits, so that one without any says
+	// toggledAt is when a limit was first named, or lifted, last.
+	toggledAt time.Time
+	// reportedByProbes says that its answers to probes name limits, so that one without any says
 	// that there is none.
-	inProbes bool
+	reportedByProbes bool
 }
 
 // Advertised is the limit.
-func (n *Named) Advertised() Advertised { return n.advertised }
+func (k *KnownLimit) Advertised() Advertised { return k.advertised }
 
 // Age is how long ago the limit was advertised.
-func (n *Named) Age(now time.Time) time.Duration { return now.Sub(n.at) }
+func (k *KnownLimit) Age(now time.Time) time.Duration { return now.Sub(k.at) }
 
-// Note takes in what was advertised at a moment, unless what is known is younger. It says whether
+// Observe takes in what was advertised at a moment, unless what is known is younger. It says whether
 // the limit is another one now.
-func (n *Named) Note(at time.Time, advertised Advertised, via Via) (changed bool) {
-	if n.ignores(at, advertised, via) {
+func (k *KnownLimit) Observe(at time.Time, advertised Advertised, source Source) (changed bool) {
+	if k.isStale(at, advertised, source) {
 		return false
 	}
-	if n.turns(advertised) {
-		n.turned = at
+	if k.toggles(advertised) {
+		k.toggledAt = at
 	}
-	n.inProbes = n.inProbes || via == ViaProbe && advertised.Rate > 0
-	changed = advertised != n.advertised
-	n.advertised = advertised
-	if at.After(n.at) {
-		n.at = at
+	k.reportedByProbes = k.reportedByProbes || source == SourceProbe && advertised.Rate > 0
+	changed = advertised != k.advertised
+	k.advertised = advertised
+	if at.After(k.at) {
+		k.at = at
 	}
 	return changed
 }
 
-// turns says whether a limit is named where there was none, or none any more.
-func (n *Named) turns(advertised Advertised) bool {
-	return (advertised.Rate > 0) != (n.advertised.Rate > 0)
+// toggles says whether a limit is named where there was none, or none any more.
+func (k *KnownLimit) toggles(advertised Advertised) bool {
+	return (advertised.Rate > 0) != (k.advertised.Rate > 0)
 }
 
-// ignores says whether what was advertised changes nothing of what is known. Answers take their
+// isStale says whether what was advertised changes nothing of what is known. Answers take their
 // time: one that was made before a target first named a limit, or lifted it, may come after
 // the update on that, or just before.
-func (n *Named) ignores(at time.Time, advertised Advertised, via Via) bool {
+func (k *KnownLimit) isStale(at time.Time, advertised Advertised, source Source) bool {
 	switch {
-	case n.turns(advertised) && at.Sub(n.turned) < onTheWay:
+	case k.toggles(advertised) && at.Sub(k.toggledAt) < maxReplyDelay:
 		return true
 	case advertised.Rate > 0:
-		return at.Before(n.at)
-	case via == ViaProbe && !n.inProbes:
+		return at.Before(k.at)
+	case source == SourceProbe && !k.reportedByProbes:
 		return true // they never reported limits
 	default:
-		return at.Add(onTheWay).Before(n.at)
+		return at.Add(maxReplyDelay).Before(k.at)
 	}
 }
--- a/core/gateway/quota/advertised_test.go
+++ b/core/gateway/quota/advertised_test.go
@@ -57,22 +57,22 @@
 
 func TestTheMostRecentUpdateOfALimitHolds(t *testing.T) {
 	g := NewWithT(t)
-	var n quota.Named
-	g.Expect(n.Note(at(1), quota.Advertised{Rate: 3}, quota.ViaAnswer)).To(BeTrue())
-	g.Expect(n.Note(at(0.5), quota.Advertised{Rate: 9}, quota.ViaHome)).To(BeFalse())
-	g.Expect(n.Note(at(2), quota.Advertised{Rate: 2}, quota.ViaHome)).To(BeTrue())
+	var n quota.KnownLimit
+	g.Expect(n.Observe(at(1), quota.Advertised{Rate: 3}, quota.SourceAnswer)).To(BeTrue())
+	g.Expect(n.Observe(at(0.5), quota.Advertised{Rate: 9}, quota.SourceHome)).To(BeFalse())
+	g.Expect(n.Observe(at(2), quota.Advertised{Rate: 2}, quota.SourceHome)).To(BeTrue())
 	g.Expect(n.Advertised().Rate).To(Equal(2.0))
 	// Probes that never named a limit say nothing.
-	g.Expect(n.Note(at(3), quota.Advertised{}, quota.ViaProbe)).To(BeFalse())
-	g.Expect(n.Note(at(4), quota.Advertised{Rate: 2}, quota.ViaProbe)).To(BeFalse())
-	g.Expect(n.Note(at(5), quota.Advertised{}, quota.ViaProbe)).To(BeTrue())
+	g.Expect(n.Observe(at(3), quota.Advertised{}, quota.SourceProbe)).To(BeFalse())
+	g.Expect(n.Observe(at(4), quota.Advertised{Rate: 2}, quota.SourceProbe)).To(BeFalse())
+	g.Expect(n.Observe(at(5), quota.Advertised{}, quota.SourceProbe)).To(BeTrue())
 	g.Expect(n.Advertised().Rate).To(BeZero())
 	g.Expect(n.Age(at(7)).Seconds()).To(Equal(2.0))
 }
 
 // takeTarget asks for requests to a target that told its limit some time ago.
 func takeTarget(l *quota.Ledger, seconds, rate, age float64, count int) quota.Grant {
-	g, ok := l.Take(at(seconds), quota.Want{
+	g, ok := l.Grant(at(seconds), quota.CreditRequest{
 		Target: "target-1", Limit: quota.Advertised{Rate: rate}.Limit(), Age: time.Duration(age * float64(time.Second)), Count: count,
 	})
 	if !ok {
@@ -121,8 +121,8 @@
 func TestThoseThatDontCountGetTheWholeLimitWhereNobodyElseIs(t *testing.T) {
 	g := NewWithT(t)
 	l := quota.NewLedger(self, began, 0)
-	l.SetFleet(2072)
-	l.Observe(at(10), quota.Standing{From: 101, Homes: []uint32{self}})
+	l.SetFleetSize(2072)
+	l.Observe(at(10), quota.Heartbeat{From: 101, Homes: []uint32{self}})
 	takeTarget(l, 10, 4, 0, 1)
 	g.Expect(takeTarget(l, 12, 4, 0, 9).Count).To(Equal(2))
 }
@@ -133,32 +133,32 @@
 	limit, none := quota.Advertised{Rate: 3}, quota.Advertised{}
 	for name, c := range map[string]struct {
 		begin, end quota.Advertised
-		via        quota.Via
+		via        quota.Source
 	}{
-		"named, an answer":  {limit, none, quota.ViaAnswer},
-		"named, a probe":    {limit, none, quota.ViaProbe},
-		"named, the home":   {limit, none, quota.ViaHome},
-		"lifted, an answer": {none, limit, quota.ViaAnswer},
-		"lifted, a gateway": {none, limit, quota.ViaGateway},
+		"named, an answer":  {limit, none, quota.SourceAnswer},
+		"named, a probe":    {limit, none, quota.SourceProbe},
+		"named, the home":   {limit, none, quota.SourceHome},
+		"lifted, an answer": {none, limit, quota.SourceAnswer},
+		"lifted, a gateway": {none, limit, quota.SourceGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var n quota.Named
+			var n quota.KnownLimit
 			if c.begin == none {
-				n.Note(at(0), limit, quota.ViaProbe)
+				n.Observe(at(0), limit, quota.SourceProbe)
 			}
-			g.Expect(n.Note(at(1), c.begin, quota.ViaProbe)).To(BeTrue())
-			g.Expect(n.Note(at(1.05), c.end, c.via)).To(BeFalse())
+			g.Expect(n.Observe(at(1), c.begin, quota.SourceProbe)).To(BeTrue())
+			g.Expect(n.Observe(at(1.05), c.end, c.via)).To(BeFalse())
 			g.Expect(n.Advertised()).To(Equal(c.begin))
-			g.Expect(n.Note(at(1.15), c.end, c.via)).To(BeTrue(), "a tenth of a second later it is news")
+			g.Expect(n.Observe(at(1.15), c.end, c.via)).To(BeTrue(), "a tenth of a second later it is news")
 		})
 	}
 	t.Run("word of a lift behind an answer", func(t *testing.T) {
 		g := NewWithT(t)
-		var n quota.Named
-		n.Note(at(0), limit, quota.ViaAnswer)
-		n.Note(at(5), limit, quota.ViaAnswer)
-		g.Expect(n.Note(at(4.95), none, quota.ViaGateway)).To(BeTrue())
-		g.Expect(n.Note(at(5.01), limit, quota.ViaAnswer)).To(BeFalse())
+		var n quota.KnownLimit
+		n.Observe(at(0), limit, quota.SourceAnswer)
+		n.Observe(at(5), limit, quota.SourceAnswer)
+		g.Expect(n.Observe(at(4.95), none, quota.SourceGateway)).To(BeTrue())
+		g.Expect(n.Observe(at(5.01), limit, quota.SourceAnswer)).To(BeFalse())
 	})
 }
--- a/core/gateway/quota/ledger_test.go
+++ b/core/gateway/quota/ledger_test.go
@@ -28,12 +28,12 @@
 // hearAll has gateways say at a moment that they are there.
 func hearAll(l *quota.Ledger, seconds float64, from, to int) {
 	for i := from; i < to; i++ {
-		l.Observe(at(seconds), quota.Standing{From: uint32(100 + i), Homes: []uint32{self}, Counts: true})
+		l.Observe(at(seconds), quota.Heartbeat{From: uint32(100 + i), Homes: []uint32{self}, Counts: true})
 	}
 }
 
 func take(l *quota.Ledger, seconds float64, count int) quota.Grant {
-	g, ok := l.Take(at(seconds), quota.Want{Workspace: "harbour", Limit: quota.Limit{Rate: 100, Burst: 40}, Version: 7, Count: count})
+	g, ok := l.Grant(at(seconds), quota.CreditRequest{Workspace: "harbour", Limit: quota.Limit{Rate: 100, Burst: 40}, Version: 7, Count: count})
 	if !ok {
 		panic("the fleet is not known")
 	}
@@ -44,15 +44,15 @@
 	g := NewWithT(t)
 	l := quota.NewLedger(self, began, 0)
 	hearAll(l, 0.1, 0, 1)
-	_, ok := l.Take(at(0.1), quota.Want{Workspace: "harbour", Limit: quota.Limit{Rate: 100}, Count: 1})
+	_, ok := l.Grant(at(0.1), quota.CreditRequest{Workspace: "harbour", Limit: quota.Limit{Rate: 100}, Count: 1})
 	g.Expect(ok).To(BeFalse())
 	// Another gateway knows it: one in ten has this one for a home.
-	l.Observe(at(0.2), quota.Standing{From: 101, Homes: []uint32{self}, Counts: true, Fleet: quota.Fleet{Size: 20}})
+	l.Observe(at(0.2), quota.Heartbeat{From: 101, Homes: []uint32{self}, Counts: true, Fleet: quota.Fleet{Size: 20}})
 	g.Expect(take(l, 0.2, 100).Count).To(Equal(1)) // 2 in 20 of a tenth of the burst, and of what .1 s earned
 	g.Expect(take(l, 1.2, 100).Count).To(Equal(4)) // and of the burst; 10 were earned
 	// Update of a fleet that is too old says nothing.
 	l = quota.NewLedger(self, began, 0)
-	l.Observe(at(0.2), quota.Standing{From: 101, Homes: []uint32{self}, Counts: true, Fleet: quota.Fleet{Size: 20, Age: time.Minute}})
+	l.Observe(at(0.2), quota.Heartbeat{From: 101, Homes: []uint32{self}, Counts: true, Fleet: quota.Fleet{Size: 20, Age: time.Minute}})
 	g.Expect(l.Fleet(at(0.2)).Size).To(BeZero())
 }
 
@@ -94,13 +94,13 @@
 	g := NewWithT(t)
 	l := settled(6)
 	for i := range 3 { // they name another home beside this one, which ranks first for some
-		l.Observe(at(1), quota.Standing{From: uint32(100 + i), Homes: []uint32{self, 2}, Counts: true})
+		l.Observe(at(1), quota.Heartbeat{From: uint32(100 + i), Homes: []uint32{self, 2}, Counts: true})
 	}
 	here, elsewhere := 0, 0
 	for i := range 40 {
-		w := quota.Want{Workspace: fmt.Sprint("workspace-", i), Limit: quota.Limit{Rate: 60, Burst: 60}, Count: 1000}
-		l.Take(at(1), w)
-		grant, _ := l.Take(at(1.5), w)
+		w := quota.CreditRequest{Workspace: fmt.Sprint("workspace-", i), Limit: quota.Limit{Rate: 60, Burst: 60}, Count: 1000}
+		l.Grant(at(1), w)
+		grant, _ := l.Grant(at(1.5), w)
 		if home, _ := quota.Home(w.Subject(), []uint32{self, 2}); home == self {
 			g.Expect(grant.Count).To(BeNumerically("~", 30, 1))
 			here++
@@ -115,12 +115,12 @@
 func TestTheNewestLimitHolds(t *testing.T) {
 	g := NewWithT(t)
 	l := settled(1)
-	want := quota.Want{Workspace: "harbour", Limit: quota.Limit{Rate: 100, Burst: 100}, Version: 7, Count: 1000}
-	l.Take(at(1), want)
+	want := quota.CreditRequest{Workspace: "harbour", Limit: quota.Limit{Rate: 100, Burst: 100}, Version: 7, Count: 1000}
+	l.Grant(at(1), want)
 	lowered := want
 	lowered.Limit, lowered.Version = quota.Limit{Rate: 10, Burst: 10}, 8
-	l.Take(at(1), lowered)
-	grant, _ := l.Take(at(1.5), want) // of a gateway that is behind
+	l.Grant(at(1), lowered)
+	grant, _ := l.Grant(at(1.5), want) // of a gateway that is behind
 	g.Expect(grant.Count).To(Equal(5))
 }
 
@@ -165,20 +165,20 @@
 
 func TestABorrowerHoldsCreditForAMoment(t *testing.T) {
 	g := NewWithT(t)
-	var b quota.Borrower
-	g.Expect(b.Use(at(0))).To(Equal(quota.Ask))
-	g.Expect(b.Take(at(0), quota.Grant{Count: 3}, 1)).To(Equal(1))
-	g.Expect(b.Use(at(0.1))).To(Equal(quota.Go))
+	var b quota.LocalCredit
+	g.Expect(b.Use(at(0))).To(Equal(quota.AskHome))
+	g.Expect(b.AddGrant(at(0), quota.Grant{Count: 3}, 1)).To(Equal(1))
+	g.Expect(b.Use(at(0.1))).To(Equal(quota.Admit))
 	b.Return(at(0.2))
-	g.Expect(b.Use(at(0.55))).To(Equal(quota.Go)) // what was given back; the third is over
-	g.Expect(b.Use(at(0.55))).To(Equal(quota.Ask))
-	g.Expect(b.Take(at(0.6), quota.Grant{Pause: time.Second}, 2)).To(BeZero())
+	g.Expect(b.Use(at(0.55))).To(Equal(quota.Admit)) // what was given back; the third is over
+	g.Expect(b.Use(at(0.55))).To(Equal(quota.AskHome))
+	g.Expect(b.AddGrant(at(0.6), quota.Grant{Pause: time.Second}, 2)).To(BeZero())
 	for range 5 {
 		g.Expect(b.Use(at(1))).To(Equal(quota.Refuse))
 	}
 	g.Expect(b.PauseLeft(at(1))).To(Equal(600 * time.Millisecond))
-	g.Expect(b.Wanted(1)).To(Equal(6))
-	g.Expect(b.Use(at(1.6))).To(Equal(quota.Ask))
+	g.Expect(b.Demand(1)).To(Equal(6))
+	g.Expect(b.Use(at(1.6))).To(Equal(quota.AskHome))
 	g.Expect(b.IsIdle(at(61))).To(BeFalse())
 	g.Expect(b.IsIdle(at(62))).To(BeTrue())
 }
@@ -213,12 +213,12 @@
 					for i := range size {
 						id := quota.ID(fmt.Sprint("gateway-", i))
 						stands := quota.SampleWeight(id, guess(i, seconds))
-						l.Observe(at(seconds), quota.Standing{From: id, Homes: []uint32{self}, Counts: stands > 0, Stands: stands})
+						l.Observe(at(seconds), quota.Heartbeat{From: id, Homes: []uint32{self}, Counts: stands > 0, Stands: stands})
 					}
 				}
 				observe(1, func(int, float64) int { return 20 })
 				for s := 2.0; s < 9; s++ {
-					l.SetFleet(home)
+					l.SetFleetSize(home)
 					observe(s, guess)
 					l.Tick(at(s))
 					take(l, s, 0)
--- a/core/gateway/quota/members.go
+++ b/core/gateway/quota/members.go
@@ -9,57 +9,57 @@
 	// HeartbeatEvery is how often a gateway that counts sends the homes a heartbeat, unless
 	// it asks them for credit.
 	HeartbeatEvery = 900 * time.Millisecond
-	// AttachedFor is how long a gateway counts after it was last seen. While it turns
+	// MemberTTL is how long a gateway counts after it was last seen. While it turns
 	// to another home its part is given out twice; a heartbeat may come a third of a second late.
-	AttachedFor = 1250 * time.Millisecond
-	// doubtfulWeight is for how much a gateway counts that may still count elsewhere, at a home
+	MemberTTL = 1250 * time.Millisecond
+	// uncertainWeight is for how much a gateway counts that may still count elsewhere, at a home
 	// that it has turned away from. That one may be cut off from it, and give out its part as
 	// well, or have lost power: with none, customers of a home that lost power would have
 	// nothing for a second.
-	doubtfulWeight = 0.5
-	// fleetFor is how long a fleet counts that was larger than what is there now. Those that
+	uncertainWeight = 0.5
+	// fleetTTL is how long a fleet counts that was larger than what is there now. Those that
 	// are missing may be behind a cut, with another home. A fleet that has shrunk for good
 	// gets less than its limits for so long, which is longer than most cuts last.
-	fleetFor = 30 * time.Second
-	// settleTime is how long a home that has just begun looks for others before it believes
+	fleetTTL = 30 * time.Second
+	// discoveryTime is how long a home that has just begun looks for others before it believes
 	// that there are no more. Gateways that start together announce themselves as soon as they
 	// know a home, within some tenths of a second.
-	settleTime = 600 * time.Millisecond
+	discoveryTime = 600 * time.Millisecond
 )
 
 // member is a gateway that sends heartbeats.
 type member struct {
-	observed time.Time
+	lastSeen time.Time
 	group    string
-	// stands is for how many gateways it stands.
-	stands int
+	// weight is for how many gateways it weight.
+	weight int
 }
 
 // group are the members that take the same gateways for homes, by how many these represent.
 type group struct {
 	homes []uint32
 	count int
-	// doubtful is how many of them may still count at another home, until doubtUntil.
-	doubtful   int
-	doubtUntil time.Time
+	// uncertain is how many of them may still count at another home, until doubtUntil.
+	uncertain      int
+	uncertainUntil time.Time
 }
 
 // weight is for how many members the group counts.
 func (g *group) weight(now time.Time) float64 {
-	if !now.Before(g.doubtUntil) {
+	if !now.Before(g.uncertainUntil) {
 		return float64(g.count)
 	}
-	return float64(g.count) - (1-doubtfulWeight)*float64(min(g.doubtful, g.count))
+	return float64(g.count) - (1-uncertainWeight)*float64(min(g.uncertain, g.count))
 }
 
-// doubt notes a member that may still count elsewhere for a while.
-func (g *group) doubt(now time.Time, stands int, left time.Duration) {
-	if !now.Before(g.doubtUntil) {
-		g.doubtful = 0
+// addUncertain notes a member that may still count elsewhere for a while.
+func (g *group) addUncertain(now time.Time, weight int, left time.Duration) {
+	if !now.Before(g.uncertainUntil) {
+		g.uncertain = 0
 	}
-	g.doubtful += stands
-	if until := now.Add(left); until.After(g.doubtUntil) {
-		g.doubtUntil = until
+	g.uncertain += weight
+	if until := now.Add(left); until.After(g.uncertainUntil) {
+		g.uncertainUntil = until
 	}
 }
 
@@ -71,8 +71,8 @@
 	started time.Time
 	members map[uint32]*member
 	groups  map[string]*group
-	// fraction is of how many gateways one counts by this one's own guess; a power of two.
-	fraction int
+	// sampleInterval is of how many gateways one counts by this one's own guess; a power of two.
+	sampleInterval int
 	// changed is when a member last came, went or took to other homes.
 	changed time.Time
 	// fleet is the greatest size lately, known at a moment; 0 if none was ever reported.
@@ -81,51 +81,51 @@
 }
 
 func newMembers(self uint32, started time.Time) *Members {
-	return &Members{self: self, started: started, fraction: 1, members: map[uint32]*member{}, groups: map[string]*group{}}
+	return &Members{self: self, started: started, sampleInterval: 1, members: map[uint32]*member{}, groups: map[string]*group{}}
 }
 
 // observe notes that a gateway is there.
-func (m *Members) observe(now time.Time, s Standing) {
-	m.noteFleet(now, s.Fleet)
-	known := m.members[s.From]
-	switch key := groupKey(s.Homes); {
-	case !s.Counts && known == nil:
+func (m *Members) observe(now time.Time, h Heartbeat) {
+	m.mergeFleet(now, h.Fleet)
+	known := m.members[h.From]
+	switch key := groupKey(h.Homes); {
+	case !h.Counts && known == nil:
 		return
-	case !s.Counts:
-		m.drop(s.From) // it does not count any more, and is there
+	case !h.Counts:
+		m.remove(h.From) // it does not count any more, and is there
 	case known == nil || known.group != key:
-		m.move(now, key, s)
+		m.setGroup(now, key, h)
 	default:
-		m.groups[key].count += s.stands() - known.stands
-		known.observed, known.stands = now, s.stands()
+		m.groups[key].count += h.weight() - known.weight
+		known.lastSeen, known.weight = now, h.weight()
 	}
-	m.noteCount(now)
+	m.mergeOwnCount(now)
 }
 
-// move puts a gateway into the group of its homes.
-func (m *Members) move(now time.Time, key string, s Standing) {
-	m.drop(s.From)
+// setGroup puts a gateway into the group of its homes.
+func (m *Members) setGroup(now time.Time, key string, h Heartbeat) {
+	m.remove(h.From)
 	m.changed = now
 	if m.groups[key] == nil {
-		m.groups[key] = &group{homes: append([]uint32(nil), s.Homes...)}
+		m.groups[key] = &group{homes: append([]uint32(nil), h.Homes...)}
 	}
 	g := m.groups[key]
-	g.count += s.stands()
-	m.members[s.From] = &member{observed: now, group: key, stands: s.stands()}
-	if s.Left > 0 && s.Left < AttachedFor {
-		g.doubt(now, s.stands(), AttachedFor-s.Left)
+	g.count += h.weight()
+	m.members[h.From] = &member{lastSeen: now, group: key, weight: h.weight()}
+	if h.Left > 0 && h.Left < MemberTTL {
+		g.addUncertain(now, h.weight(), MemberTTL-h.Left)
 	}
 }
 
-// drop takes a gateway out of its group, if it is in any.
-func (m *Members) drop(id uint32) {
+// remove takes a gateway out of its group, if it is in any.
+func (m *Members) remove(id uint32) {
 	known := m.members[id]
 	if known == nil {
 		return
 	}
 	delete(m.members, id)
 	g := m.groups[known.group]
-	if g.count -= known.stands; g.count == 0 {
+	if g.count -= known.weight; g.count == 0 {
 		delete(m.groups, known.group)
 	}
 }
@@ -142,20 +142,20 @@
 // prune forgets members that fell silent.
 func (m *Members) prune(now time.Time) {
 	for id, member := range m.members {
-		if now.Sub(member.observed) > AttachedFor {
-			m.drop(id)
+		if now.Sub(member.lastSeen) > MemberTTL {
+			m.remove(id)
 			m.changed = now
 		}
 	}
 }
 
-// noteFleet takes in how large the fleet is to another gateway.
-func (m *Members) noteFleet(now time.Time, f Fleet) {
+// mergeFleet takes in how large the fleet is to another gateway.
+func (m *Members) mergeFleet(now time.Time, f Fleet) {
 	at := now.Add(-f.Age)
-	if f.Size <= 0 || f.Age >= fleetFor {
+	if f.Size <= 0 || f.Age >= fleetTTL {
 		return
 	}
-	expired := now.Sub(m.fleetAt) >= fleetFor
+	expired := now.Sub(m.fleetAt) >= fleetTTL
 	switch {
 	case f.Size > m.fleet, expired:
 		m.fleet, m.fleetAt = f.Size, at
@@ -164,16 +164,16 @@
 	}
 }
 
-// noteCount takes the members for the fleet, once there was time to learn of it.
-func (m *Members) noteCount(now time.Time) {
-	if m.fleet == 0 && now.Sub(m.started) < settleTime {
+// mergeOwnCount takes the members for the fleet, once there was time to learn of it.
+func (m *Members) mergeOwnCount(now time.Time) {
+	if m.fleet == 0 && now.Sub(m.started) < discoveryTime {
 		return
 	}
 	size := 0
 	for _, g := range m.groups {
 		size += g.count
 	}
-	m.noteFleet(now, Fleet{Size: size})
+	m.mergeFleet(now, Fleet{Size: size})
 }
 
 // Fleet is the greatest fleet lately; its size is 0 while none is known.
@@ -186,7 +186,7 @@
 // count: then there is nobody to share with, or they have the part of one that counts.
 func (m *Members) share(now time.Time, s Subject) (share float64, known bool) {
 	if m.fleet == 0 {
-		return 1, now.Sub(m.started) >= settleTime
+		return 1, now.Sub(m.started) >= discoveryTime
 	}
 	attached := 0.0
 	for _, g := range m.groups {
@@ -195,34 +195,34 @@
 		}
 	}
 	if attached == 0 {
-		attached = float64(m.fraction)
+		attached = float64(m.sampleInterval)
 	}
 	return min(attached/float64(m.fleet), 1), true
 }
 
-// counted is about how many gateways of a large fleet count: enough to know parts to some
+// maxSampled is about how many gateways of a large fleet count: enough to know parts to some
 // hundredths, and as many heartbeats a second at any size.
-const counted = 192
+const maxSampled = 192
 
 // SampleWeight is for how many gateways one stands by which parts are measured, in a fleet of
 // about a size: each for itself in a small one, in a larger one half of them for two, a quarter
 // for four and so on, always the same ones; 0 for one that does not count.
 func SampleWeight(gateway uint32, fleet int) int {
-	fraction := fractionOf(fleet)
-	if !isOneOf(gateway, fraction) {
+	interval := sampleIntervalFor(fleet)
+	if !isSampled(gateway, interval) {
 		return 0
 	}
-	return fraction
+	return interval
 }
 
-// fractionOf is of how many gateways one counts in a fleet of about a size.
-func fractionOf(fleet int) int {
-	fraction := 1
-	for ; fleet > counted; fleet /= 2 {
-		fraction *= 2
+// sampleIntervalFor is of how many gateways one counts in a fleet of about a size.
+func sampleIntervalFor(fleet int) int {
+	interval := 1
+	for ; fleet > maxSampled; fleet /= 2 {
+		interval *= 2
 	}
-	return fraction
+	return interval
 }
 
-// isOneOf says whether a gateway is the one of so many that counts.
-func isOneOf(gateway uint32, fraction int) bool { return gateway&uint32(fraction-1) == 0 }
+// isSampled says whether a gateway is the one of so many that counts.
+func isSampled(gateway uint32, interval int) bool { return gateway&uint32(interval-1) == 0 }
--- a/core/gateway/quota/quota.go
+++ b/core/gateway/quota/quota.go
@@ -67,8 +67,8 @@
 // and count as one.
 func ID(gateway string) uint32 { return uint32(xxhash.Sum64String("gateway\x00" + gateway)) }
 
-// Standing is what a gateway says of itself to a home.
-type Standing struct {
+// Heartbeat is what a gateway says of itself to a home.
+type Heartbeat struct {
 	// From is the gateway, Homes those that it takes for the homes of workspaces.
 	From  uint32
 	Homes []uint32
@@ -85,7 +85,7 @@
 	Left time.Duration
 }
 
-func (s Standing) stands() int { return max(s.Stands, 1) }
+func (h Heartbeat) weight() int { return max(h.Stands, 1) }
 
 // Fleet is how many gateways there were, some time ago, by those that count.
 type Fleet struct {
@@ -93,8 +93,8 @@
 	Age  time.Duration
 }
 
-// Want asks for credit for requests of a subject.
-type Want struct {
+// CreditRequest asks for credit for requests of a subject.
+type CreditRequest struct {
 	// Workspace or Target names the subject.
 	Workspace string
 	Target    string
@@ -108,7 +108,7 @@
 }
 
 // Subject is what the limit bounds.
-func (w Want) Subject() Subject { return Subject{Workspace: w.Workspace, Target: w.Target} }
+func (r CreditRequest) Subject() Subject { return Subject{Workspace: r.Workspace, Target: r.Target} }
 
 // Grant is the credit that is given.
 type Grant struct {
@@ -129,17 +129,17 @@
 	var best uint64
 	key := xxhash.Sum64String(s.key())
 	for _, gateway := range gateways {
-		if score := mix(key, uint64(gateway)); !ok || score > best {
+		if score := hashPair(key, uint64(gateway)); !ok || score > best {
 			home, best, ok = gateway, score, true
 		}
 	}
 	return home, ok
 }
 
-// mix hashes two numbers.
-func mix(a, b uint64) uint64 {
-	var both [16]byte
-	binary.LittleEndian.PutUint64(both[:8], a)
-	binary.LittleEndian.PutUint64(both[8:], b)
-	return xxhash.Sum64(both[:])
+// hashPair hashes two numbers.
+func hashPair(a, b uint64) uint64 {
+	var buffer [16]byte
+	binary.LittleEndian.PutUint64(buffer[:8], a)
+	binary.LittleEndian.PutUint64(buffer[8:], b)
+	return xxhash.Sum64(buffer[:])
 }
--- a/core/gateway/quota/board_test.go
+++ b/core/gateway/quota/shared_test.go
@@ -16,7 +16,7 @@
 var inNeed = catalog.Life{ID: "target-1", Born: 7}
 
 // rateOn is the limit that a board tells of a target; -1 for nothing.
-func rateOn(b *quota.Board, life catalog.Life) float64 {
+func rateOn(b *quota.SharedLimits, life catalog.Life) float64 {
 	updates, _ := b.Since(at(60), changes.Position{})
 	for _, w := range updates {
 		if w.Life == life {
@@ -28,16 +28,16 @@
 
 func TestABoardPublishesLimitsThatMoveByMuch(t *testing.T) {
 	g := NewWithT(t)
-	b := quota.NewBoard(1)
+	b := quota.NewSharedLimits(1)
 	g.Expect(b.Position()).To(Equal(changes.Position{}))
-	g.Expect(b.Note(at(0), inNeed, quota.Advertised{})).To(BeFalse(), "it never named one")
-	g.Expect(b.Note(at(0), inNeed, quota.Advertised{Rate: 4})).To(BeTrue())
-	g.Expect(b.Note(at(0.6), inNeed, quota.Advertised{Rate: 4.4})).To(BeFalse())
-	g.Expect(b.Note(at(0.7), inNeed, quota.Advertised{Rate: 3})).To(BeTrue())
-	g.Expect(b.Note(at(0.8), inNeed, quota.Advertised{})).To(BeFalse(), "too soon")
+	g.Expect(b.Observe(at(0), inNeed, quota.Advertised{})).To(BeFalse(), "it never named one")
+	g.Expect(b.Observe(at(0), inNeed, quota.Advertised{Rate: 4})).To(BeTrue())
+	g.Expect(b.Observe(at(0.6), inNeed, quota.Advertised{Rate: 4.4})).To(BeFalse())
+	g.Expect(b.Observe(at(0.7), inNeed, quota.Advertised{Rate: 3})).To(BeTrue())
+	g.Expect(b.Observe(at(0.8), inNeed, quota.Advertised{})).To(BeFalse(), "too soon")
 	g.Expect(b.Tick(at(1))).To(BeFalse())
 	g.Expect(b.Tick(at(1.3))).To(BeTrue())
-	g.Expect(b.Note(at(1.9), inNeed, quota.Advertised{})).To(BeFalse())
+	g.Expect(b.Observe(at(1.9), inNeed, quota.Advertised{})).To(BeFalse())
 	updates, to := b.Since(at(2), changes.Position{})
 	g.Expect(updates).To(Equal([]quota.Update{{Life: inNeed, Edition: 3, Age: 700 * time.Millisecond}}))
 	again, _ := b.Since(at(2), to)
@@ -48,7 +48,7 @@
 
 func TestAnUpdateThatCantBeTrueIsPassedOver(t *testing.T) {
 	g := NewWithT(t)
-	b := quota.NewBoard(1)
+	b := quota.NewSharedLimits(1)
 	for _, w := range []quota.Update{
 		{Rate: 1, Edition: 1}, {Life: inNeed, Rate: -1, Edition: 1}, {Life: inNeed, Rate: 1e9, Edition: 1},
 		{Life: inNeed, Rate: 1, Edition: 1, Age: -time.Second}, {Life: inNeed, Rate: 1, Edition: 1, Age: time.Hour},
@@ -61,9 +61,9 @@
 // A service of thousands of targets is in need at once.
 func TestABoardIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	b := quota.NewBoard(1)
+	b := quota.NewSharedLimits(1)
 	for i := range 3000 {
-		b.Note(at(0), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
+		b.Observe(at(0), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
 	}
 	advertised := map[string]bool{}
 	for position := (changes.Position{}); ; {
@@ -81,7 +81,7 @@
 	// What has no place is not told with each answer.
 	position := b.Position()
 	for i := range 3000 {
-		b.Note(at(1), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
+		b.Observe(at(1), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
 	}
 	g.Expect(b.Position()).To(Equal(position))
 }
@@ -89,12 +89,12 @@
 // A target names a limit in each second answer, at all gateways.
 func TestALimitThatFlapsIsPublishedNowAndThen(t *testing.T) {
 	g := NewWithT(t)
-	boards := []*quota.Board{quota.NewBoard(1), quota.NewBoard(2), quota.NewBoard(3)}
+	boards := []*quota.SharedLimits{quota.NewSharedLimits(1), quota.NewSharedLimits(2), quota.NewSharedLimits(3)}
 	advertised := 0
 	for i := range 1000 {
 		now := at(float64(i) / 100)
 		rate := float64(i%2) * 3
-		if b := boards[i%3]; b.Note(now, inNeed, quota.Advertised{Rate: rate}) || b.Tick(now) {
+		if b := boards[i%3]; b.Observe(now, inNeed, quota.Advertised{Rate: rate}) || b.Tick(now) {
 			advertised++
 			updates, _ := b.Since(now, changes.Position{})
 			for _, other := range boards {
@@ -109,9 +109,9 @@
 // all was told, all know the same, and nobody has anything left to tell.
 func TestBoardsEndAlikeInWhateverOrderUpdatesCome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var boards []*quota.Board
+		var boards []*quota.SharedLimits
 		for i := range 4 {
-			boards = append(boards, quota.NewBoard(uint64(i+1)))
+			boards = append(boards, quota.NewSharedLimits(uint64(i+1)))
 		}
 		observed := map[[2]int]changes.Position{}
 		now := 1.0
@@ -125,7 +125,7 @@
 			if i == j {
 				rate := rapid.SampledFrom([]float64{0, 1, 2, 8}).Draw(t, "rate")
 				now += 0.3
-				boards[i].Note(at(now), inNeed, quota.Advertised{Rate: rate})
+				boards[i].Observe(at(now), inNeed, quota.Advertised{Rate: rate})
 				continue
 			}
 			tell(i, j)
--- a/internal/gateway/quota/homes.go
+++ b/internal/gateway/quota/homes.go
@@ -119,7 +119,7 @@
 	}
 	before := r.stands()
 	r.size, r.sizedAt = size, now
-	r.ledger.SetFleet(r.size)
+	r.ledger.SetFleetSize(r.size)
 	if r.stands() != before {
 		r.hurry() // else homes would count it as before for a while, beside those that represent it
 	}
@@ -179,11 +179,11 @@
 // forget drops what is known of the credit of subjects that nobody uses, of targets that were not
 // met for long, and of gateways that homes named; the lock is held.
 func (r *Register) forget(now time.Time) {
-	maps.DeleteFunc(r.borrowers, func(_ quota.Subject, b *quota.Borrower) bool { return b.IsIdle(now) })
+	maps.DeleteFunc(r.borrowers, func(_ quota.Subject, b *quota.LocalCredit) bool { return b.IsIdle(now) })
 	maps.DeleteFunc(r.namedAt, func(_ uint32, at time.Time) bool { return now.Sub(at) >= namedFor })
 	for life, t := range r.targets {
 		if t.isForgotten(now) {
-			r.takeLimit(t, now, quota.Advertised{}, quota.ViaLapse)
+			r.takeLimit(t, now, quota.Advertised{}, quota.SourceExpiry)
 			delete(r.targets, life)
 		}
 	}
@@ -227,12 +227,12 @@
 		}
 		return
 	}
-	r.ledger.NoteFleet(now, reply.Fleet)
+	r.ledger.MergeFleet(now, reply.Fleet)
 	l.noteParted(args.Standing)
 	for i, want := range args.Wants {
 		asks, grant := waiting[want.Subject()], reply.Grants[i]
 		asks[0].observe(r, now, grant)
-		goOn := r.borrower(want.Subject()).Take(now, grant, count(asks))
+		goOn := r.borrower(want.Subject()).AddGrant(now, grant, count(asks))
 		for _, a := range asks {
 			a.answer <- answer{granted: a.count <= goOn}
 			goOn -= min(a.count, goOn)
--- a/internal/gateway/quota/link.go
+++ b/internal/gateway/quota/link.go
@@ -60,19 +60,19 @@
 
 // want is what to ask for, for a number of requests like it that wait; the register's lock is
 // held. Requests that were refused go to other targets and don't come back to this one.
-func (a *ask) want(now time.Time, b *quota.Borrower, waiting int) quota.Want {
+func (a *ask) want(now time.Time, b *quota.LocalCredit, waiting int) quota.CreditRequest {
 	if a.target == nil {
-		return quota.Want{Workspace: a.subject.Workspace, Limit: a.limit, Version: a.version, Count: b.Wanted(waiting)}
+		return quota.CreditRequest{Workspace: a.subject.Workspace, Limit: a.limit, Version: a.version, Count: b.Demand(waiting)}
 	}
 	named := &a.target.named
-	return quota.Want{Target: a.subject.Target, Limit: named.Advertised().Limit(), Age: named.Age(now), Count: waiting}
+	return quota.CreditRequest{Target: a.subject.Target, Limit: named.Advertised().Limit(), Age: named.Age(now), Count: waiting}
 }
 
 // observe takes in what a home knows of the target's limit that is younger; the register's lock
 // is held.
 func (a *ask) observe(r *Register, now time.Time, g quota.Grant) {
 	if a.target != nil && g.Newer {
-		r.takeLimit(a.target, now.Add(-g.Age), quota.Advertised{Rate: g.Rate}, quota.ViaHome)
+		r.takeLimit(a.target, now.Add(-g.Age), quota.Advertised{Rate: g.Rate}, quota.SourceHome)
 	}
 }
 
--- a/internal/gateway/quota/part.go
+++ b/internal/gateway/quota/part.go
@@ -63,7 +63,7 @@
 }
 
 // noteParted takes in that the home has received a standing; the register's lock is held.
-func (l *link) noteParted(s quota.Standing) {
+func (l *link) noteParted(s quota.Heartbeat) {
 	if l.parting != nil && !l.hasParted() && slices.Equal(s.Homes, l.parting) {
 		close(l.parted)
 	}
--- a/internal/gateway/quota/protocol.go
+++ b/internal/gateway/quota/protocol.go
@@ -15,8 +15,8 @@
 
 // AskArgs is a heartbeat, and asks for credit.
 type AskArgs struct {
-	Standing quota.Standing
-	Wants    []quota.Want
+	Standing quota.Heartbeat
+	Wants    []quota.CreditRequest
 }
 
 // AskReply has a grant for each want, in order; none where the home does not know yet how
--- a/internal/gateway/quota/quota.go
+++ b/internal/gateway/quota/quota.go
@@ -103,11 +103,11 @@
 
 	mu        sync.Mutex
 	ledger    *quota.Ledger
-	borrowers map[quota.Subject]*quota.Borrower
+	borrowers map[quota.Subject]*quota.LocalCredit
 	// targets are those that name limits, or did lately, and board what gateways exchange
 	// other of that.
 	targets map[catalog.Life]*target
-	board   *quota.Board
+	board   *quota.SharedLimits
 	notify  func()
 	// links are those to the other homes, by their ids in messages; homes are all of them
 	// that answer.
@@ -153,7 +153,7 @@
 	self := quota.ID(o.Self.ID)
 	return &Register{
 		options: o, self: self, ledger: quota.NewLedger(self, o.Clock(), o.Tolerance),
-		borrowers: map[quota.Subject]*quota.Borrower{}, targets: map[catalog.Life]*target{}, board: quota.NewBoard(o.Draw()), notify: func() {},
+		borrowers: map[quota.Subject]*quota.LocalCredit{}, targets: map[catalog.Life]*target{}, board: quota.NewSharedLimits(o.Draw()), notify: func() {},
 		links: map[uint32]*link{}, namedAt: map[uint32]time.Time{}, needed: make(chan struct{}, 1),
 	}
 }
@@ -189,7 +189,7 @@
 	subject := quota.Subject{Workspace: w.Name()}
 	credit := &Credit{register: r, subject: subject}
 	switch r.use(subject) {
-	case quota.Go:
+	case quota.Admit:
 		return credit, nil
 	case quota.Refuse:
 		return nil, r.refusal(w, version)
@@ -207,17 +207,17 @@
 }
 
 // use asks the borrower of a subject.
-func (r *Register) use(s quota.Subject) quota.Answer {
+func (r *Register) use(s quota.Subject) quota.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.borrower(s).Use(r.options.Clock())
 }
 
 // borrower is that of a subject; the lock is held.
-func (r *Register) borrower(s quota.Subject) *quota.Borrower {
+func (r *Register) borrower(s quota.Subject) *quota.LocalCredit {
 	b := r.borrowers[s]
 	if b == nil {
-		b = &quota.Borrower{}
+		b = &quota.LocalCredit{}
 		r.borrowers[s] = b
 	}
 	return b
@@ -291,22 +291,22 @@
 	now := r.options.Clock()
 	r.ledger.Observe(now, r.standing(now))
 	b := r.borrower(a.subject)
-	grant, ok := r.ledger.Take(now, a.want(now, b, a.count))
+	grant, ok := r.ledger.Grant(now, a.want(now, b, a.count))
 	if !ok {
 		return false, errUnsettled
 	}
 	a.observe(r, now, grant)
-	return b.Take(now, grant, a.count) == a.count, nil
+	return b.AddGrant(now, grant, a.count) == a.count, nil
 }
 
 // standing is what this gateway says of itself; the lock is held.
-func (r *Register) standing(now time.Time) quota.Standing {
+func (r *Register) standing(now time.Time) quota.Heartbeat {
 	homes := r.homes
 	if len(homes) == 0 {
 		homes = []uint32{r.self}
 	}
 	stands := r.stands()
-	return quota.Standing{
+	return quota.Heartbeat{
 		From: r.self, Homes: homes, Counts: stands > 0, Stands: stands, Fleet: r.ledger.Fleet(now),
 		Left: r.leftFor(now),
 	}
@@ -315,7 +315,7 @@
 // leftFor is how long ago a home last answered to which this gateway does not turn any more;
 // 0 where that is long ago. The lock is held.
 func (r *Register) leftFor(now time.Time) time.Duration {
-	if age := now.Sub(r.left); age < quota.AttachedFor {
+	if age := now.Sub(r.left); age < quota.MemberTTL {
 		return age
 	}
 	return 0
--- a/internal/gateway/quota/serve.go
+++ b/internal/gateway/quota/serve.go
@@ -32,7 +32,7 @@
 	r.ledger.Observe(now, args.Standing)
 	reply := AskReply{Fleet: r.ledger.Fleet(now), First: r.unknownTo(now, args.Standing)}
 	for _, want := range args.Wants {
-		grant, ok := r.ledger.Take(now, want)
+		grant, ok := r.ledger.Grant(now, want)
 		if !ok {
 			reply.Grants = nil
 			break
@@ -46,7 +46,7 @@
 // homes; the lock is held. Gateways that start together know few others at first: informed by
 // whom they turn to, they agree on the homes sooner than by the exchange alone, and until they
 // do each home gives out but its part of a limit.
-func (r *Register) unknownTo(now time.Time, s quota.Standing) []peers.Sighting {
+func (r *Register) unknownTo(now time.Time, s quota.Heartbeat) []peers.Sighting {
 	var unknown []peers.Sighting
 	for _, ranked := range r.ranked {
 		if slices.Contains(s.Homes, quota.ID(ranked.Box.ID)) {
--- a/internal/gateway/quota/targets.go
+++ b/internal/gateway/quota/targets.go
@@ -36,7 +36,7 @@
 	life catalog.Life
 	// subject is what its limit bounds: one that starts again has advertised nothing yet.
 	subject quota.Subject
-	named   quota.Named
+	named   quota.KnownLimit
 	met     time.Time
 	// logged is the limit that was last logged.
 	logged float64
@@ -61,7 +61,7 @@
 
 // NoteLimit takes in what an answer of a target says of its limit, by the values of the header that
 // names it; none say that it has no limit.
-func (r *Register) NoteLimit(life catalog.Life, via quota.Via, limit []string) {
+func (r *Register) NoteLimit(life catalog.Life, via quota.Source, limit []string) {
 	if r == nil || len(limit) == 0 && r.limited.Load() == 0 {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // noteAdvertised takes in what a target advertised, and says whether other gateways should learn of it.
-func (r *Register) noteAdvertised(life catalog.Life, advertised quota.Advertised, via quota.Via) (isNew bool) {
+func (r *Register) noteAdvertised(life catalog.Life, advertised quota.Advertised, via quota.Source) (isNew bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.targets[life]
@@ -88,7 +88,7 @@
 	}
 	r.meet(t)
 	r.takeLimit(t, t.met, advertised, via)
-	return r.board.Note(t.met, life, t.named.Advertised())
+	return r.board.Observe(t.met, life, t.named.Advertised())
 }
 
 // addTarget notes that a target names a limit, or did; the lock is held.
@@ -107,9 +107,9 @@
 }
 
 // takeLimit takes in what was advertised of a target's limit at a moment; the lock is held.
-func (r *Register) takeLimit(t *target, at time.Time, advertised quota.Advertised, via quota.Via) {
+func (r *Register) takeLimit(t *target, at time.Time, advertised quota.Advertised, via quota.Source) {
 	before := t.named.Advertised()
-	if !t.named.Note(at, advertised, via) {
+	if !t.named.Observe(at, advertised, via) {
 		return
 	}
 	switch {
@@ -120,13 +120,13 @@
 	}
 	if t.logsAt(advertised.Rate) {
 		level := slog.LevelInfo
-		if via == quota.ViaGateway {
+		if via == quota.SourceGateway {
 			level = slog.LevelDebug // those that met the target log it
 		}
 		r.options.Log.Log(context.Background(), level, "limit of a target", "target", t.life.ID, "rate", advertised.Rate, "before", t.logged, "by", via.String())
 		t.logged = advertised.Rate
 	}
-	if via == quota.ViaAnswer {
+	if via == quota.SourceAnswer {
 		r.tellHome(t)
 	}
 }
@@ -193,7 +193,7 @@
 		return nil, true
 	}
 	switch answer {
-	case quota.Go:
+	case quota.Admit:
 		return &Credit{register: r, subject: t.subject}, true
 	case quota.Refuse:
 		return nil, false
@@ -212,12 +212,12 @@
 }
 
 // useTarget asks the borrower of a target; nil for one that names no limit.
-func (r *Register) useTarget(life catalog.Life) (*target, quota.Answer) {
+func (r *Register) useTarget(life catalog.Life) (*target, quota.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.limitOf(life)
 	if t == nil {
-		return nil, quota.Go
+		return nil, quota.Admit
 	}
 	r.meet(t)
 	return t, r.borrower(t.subject).Use(t.met)
@@ -231,7 +231,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.borrower(t.subject).Wait(r.options.Clock().Add(wait))
+	r.borrower(t.subject).PauseUntil(r.options.Clock().Add(wait))
 	r.options.Log.Debug("no credit for a target", "target", t.life.ID, "error", cause.Error())
 }
 
@@ -268,7 +268,7 @@
 		}
 		limited[life] = 0
 		if b := r.borrowers[t.subject]; b != nil {
-			limited[life] = b.Spent(now)
+			limited[life] = b.ExhaustedFor(now)
 		}
 	}
 	return limited
--- a/internal/gateway/quota/targets_test.go
+++ b/internal/gateway/quota/targets_test.go
@@ -95,9 +95,9 @@
 	}
 	time.Sleep(n.fleet.delay())
 	if n.inProbes {
-		register.NoteLimit(n.life, corequota.ViaProbe, n.header())
+		register.NoteLimit(n.life, corequota.SourceProbe, n.header())
 	} else {
-		register.NoteLimit(n.life, corequota.ViaProbe, nil)
+		register.NoteLimit(n.life, corequota.SourceProbe, nil)
 	}
 	if !n.admits(ctx, register) {
 		n.pass()
@@ -108,7 +108,7 @@
 	answer := n.header()
 	time.Sleep(20 * time.Millisecond)
 	n.answered(register, answer)
-	register.NoteLimit(n.life, corequota.ViaAnswer, answer)
+	register.NoteLimit(n.life, corequota.SourceAnswer, answer)
 }
 
 func (n *inNeed) pass() {
@@ -333,7 +333,7 @@
 		}
 		life := catalog.Life{ID: "target-1"}
 		time.Sleep(time.Second)
-		register.NoteLimit(life, corequota.ViaProbe, []string{"3"})
+		register.NoteLimit(life, corequota.SourceProbe, []string{"3"})
 		register.AdmitTarget(ctx, life)
 		stop()
 		synctest.Wait()
@@ -354,7 +354,7 @@
 			go func() { _ = duty(ctx) }()
 		}
 		life := catalog.Life{ID: "target-1"}
-		register.NoteLimit(life, corequota.ViaProbe, []string{"3"})
+		register.NoteLimit(life, corequota.SourceProbe, []string{"3"})
 		time.Sleep(9 * time.Minute)
 		g.Expect(register.TargetRate(life)).To(Equal(3.0))
 		g.Expect(register.LimitsFor()).To(BeZero())
@@ -382,7 +382,7 @@
 		}
 		life := catalog.Life{ID: "target-1"}
 		time.Sleep(time.Second)
-		register.NoteLimit(life, corequota.ViaAnswer, []string{"3"})
+		register.NoteLimit(life, corequota.SourceAnswer, []string{"3"})
 		time.Sleep(2 * time.Minute)
 		admitted := false
 		for range 50 {
--- a/internal/gateway/quota/updates.go
+++ b/internal/gateway/quota/updates.go
@@ -57,8 +57,8 @@
 	}
 	r.meet(t)
 	before := t.named.Advertised().Rate
-	r.takeLimit(t, now.Add(-w.Age), quota.Advertised{Rate: w.Rate}, quota.ViaGateway)
+	r.takeLimit(t, now.Add(-w.Age), quota.Advertised{Rate: w.Rate}, quota.SourceGateway)
 	if after := t.named.Advertised().Rate; before > 0 && after > before {
-		r.borrower(t.subject).Hasten(now, before/after)
+		r.borrower(t.subject).ShortenPause(now, before/after)
 	}
 }
--- a/internal/gateway/upstream/probe.go
+++ b/internal/gateway/upstream/probe.go
@@ -66,7 +66,7 @@
 		c.observeRequest(response)
 		return Health{}, errSurplus
 	}
-	c.observeHead(response, quota.ViaProbe)
+	c.observeHead(response, quota.SourceProbe)
 	c.learnIdle(response.Header)
 	c.reusable = c.net.SetDeadline(time.Time{}) == nil && isFramed(response) && c.reader.Buffered() == 0
 	return c.healthOf(response, began), nil
--- a/internal/gateway/upstream/signals.go
+++ b/internal/gateway/upstream/signals.go
@@ -15,11 +15,11 @@
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return signal.Signals{}
 	}
-	return c.observeHead(response, quota.ViaAnswer)
+	return c.observeHead(response, quota.SourceAnswer)
 }
 
 // observeHead reports what the head of an answer says of the target, also where its body breaks off.
-func (c *Conn) observeHead(response *http.Response, via quota.Via) signal.Signals {
+func (c *Conn) observeHead(response *http.Response, via quota.Source) signal.Signals {
 	c.observeLimit(response, via)
 	s := c.signals(response)
 	if !s.IsZero() {
@@ -30,10 +30,10 @@
 
 // observeLimit reports what the head of an answer says of the target's limit. A failed request that names
 // none says nothing: its answer may be of a part of the target that knows of no limit.
-func (c *Conn) observeLimit(response *http.Response, via quota.Via) {
+func (c *Conn) observeLimit(response *http.Response, via quota.Source) {
 	values := response.Header.Values(c.pool.options.Names.Limit)
 	failed := response.StatusCode >= http.StatusMultipleChoices
-	if via == quota.ViaAnswer && failed && len(values) == 0 {
+	if via == quota.SourceAnswer && failed && len(values) == 0 {
 		return
 	}
 	c.pool.limit(c.target.Life(), via, values)
--- a/internal/gateway/upstream/signals_test.go
+++ b/internal/gateway/upstream/signals_test.go
@@ -68,7 +68,7 @@
 // limits are what targets said of their limits, as "via: values".
 func limits(pool *upstream.Pool) *[]string {
 	all := &[]string{}
-	pool.OnLimit(func(_ catalog.Life, via quota.Via, values []string) {
+	pool.OnLimit(func(_ catalog.Life, via quota.Source, values []string) {
 		*all = append(*all, fmt.Sprint(via, ": ", values))
 	})
 	return all
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -87,7 +87,7 @@
 type Pool struct {
 	options Options
 	observe func(target catalog.Target, s signal.Signals)
-	limit   func(life catalog.Life, via quota.Via, values []string)
+	limit   func(life catalog.Life, via quota.Source, values []string)
 	gate    func(life catalog.Life) *verdict.Error
 	mu      sync.Mutex
 	idle    map[catalog.Life][]*Conn // latest used last
@@ -118,7 +118,7 @@
 	}
 	return &Pool{
 		options: o, idle: map[catalog.Life][]*Conn{},
-		observe: func(catalog.Target, signal.Signals) {}, limit: func(catalog.Life, quota.Via, []string) {},
+		observe: func(catalog.Target, signal.Signals) {}, limit: func(catalog.Life, quota.Source, []string) {},
 		gate: func(catalog.Life) *verdict.Error { return nil },
 	}
 }
@@ -134,7 +134,7 @@
 // OnLimit has observe called with what the head of an answer says of the limit of its target, by the values of
 // the header that names it, before the answer is given out: none say that it has no limit. It must be
 // called before any connection is made.
-func (p *Pool) OnLimit(observe func(life catalog.Life, via quota.Via, values []string)) {
+func (p *Pool) OnLimit(observe func(life catalog.Life, via quota.Source, values []string)) {
 	p.limit = observe
 }
 
