--- a/core/gateway/quota/advertised.go
+++ b/core/gateway/quota/advertised.go
@@ -9,40 +9,42 @@
 )
 
 const (
-	// minRate represents a smaller limit that a target names: somebody must still meet it
-	// now and then, to learn that it takes more.
+	// minRate replaces any smaller advertised limit. A target must still receive an occasional
+	// request, or nobody would learn that it accepts more.
 	minRate = 0.2
-	// maxRate is a limit, in requests a second, beyond which none is held: no gateway sends
-	// one target as many.
+	// maxRate is the largest limit, in requests per second, that is enforced. No gateway sends
+	// that many to one target, so a higher limit counts as none.
 	maxRate = 100_000
-	// asksPerRequest and leastAsks are how many questions a second a home wants for a target,
-	// for each request a second that it takes and at least: enough that none of its credit is
-	// left over. Each comes behind a probe, which takes time from the target's work.
+	// asksPerRequest and minAskRate determine how many credit requests per second a home
+	// accepts for a target: a number for each request per second of the limit, and a minimum.
+	// That is enough for all of the target's credit to be used. Each credit request follows a
+	// probe, which takes processing time from the target.
 	asksPerRequest = 4.0
 	minAskRate     = 8.0
-	// maxTargetPause bounds for how long a gateway passes a target over without a probe. It
-	// learns of others that there is no limit any more, unless an update is lost.
+	// maxTargetPause bounds how long a gateway skips a target without probing it. The gateway
+	// learns from others when the limit is lifted, unless that update is lost.
 	maxTargetPause = 30 * time.Second
-	// maxReplyDelay is for how long an answer may have been on its way that a gateway gets.
+	// maxReplyDelay is the longest time that an answer is assumed to have been in transit when
+	// a gateway receives it.
 	maxReplyDelay = 100 * time.Millisecond
-	// targetBurst and targetBurstSeconds are what the bucket of a target holds: a request, and
-	// what is earned in so long while nobody asks.
+	// The token bucket of a target holds targetBurst requests plus what is earned in
+	// targetBurstSeconds without credit requests.
 	targetBurst        = 1.0
 	targetBurstSeconds = 0.25
 )
 
-// ErrAdvertised says that what should name a target's limit does not.
-var ErrAdvertised = errors.New("a limit is one decimal number of requests a second, not below 0")
+// ErrAdvertised is returned for header values that are not a valid limit.
+var ErrAdvertised = errors.New("limit must be one non-negative decimal number of requests per second")
 
-// Advertised is what one answer of a target says of the limit that it names.
+// Advertised is the limit that a target advertises in one answer.
 type Advertised struct {
-	// Rate is how many requests a second it takes from all gateways together; 0 for any
-	// number.
+	// Rate is how many requests per second the target accepts from all gateways together; 0 for
+	// no limit.
 	Rate float64
 }
 
-// ParseAdvertised reads the values of the header by which a target names its limit; none means that
-// it names no limit, and of several the smallest holds. It fails with ErrAdvertised.
+// ParseAdvertised parses the values of the header in which a target advertises its limit. No
+// values mean no limit; of several values the smallest applies. It fails with ErrAdvertised.
 func ParseAdvertised(values []string) (Advertised, error) {
 	smallest := math.Inf(1)
 	for _, value := range values {
@@ -58,7 +60,7 @@
 	return Advertised{Rate: max(smallest, minRate)}, nil
 }
 
-// Limit is the limit that holds for the target.
+// Limit returns the limit to enforce for the target.
 func (a Advertised) Limit() Limit {
 	if a.Rate == 0 {
 		return Limit{}
@@ -66,50 +68,49 @@
 	return Limit{Rate: a.Rate, Burst: targetBurst + targetBurstSeconds*a.Rate}
 }
 
-func targetAsking(rate float64) askBounds {
+func targetAskBounds(rate float64) askBounds {
 	return askBounds{rate: max(asksPerRequest*rate, minAskRate), maxPause: maxTargetPause}
 }
 
-// Source is the kind of answer by which a target reports its limit.
+// Source is how a gateway learned of a target's limit.
 type Source int
 
-// The kinds of answers.
 const (
-	// SourceAnswer is the answer to a request.
+	// SourceAnswer is the target's answer to a request.
 	SourceAnswer Source = iota
-	// SourceProbe is the answer to a health probe.
+	// SourceProbe is the target's answer to a health probe.
 	SourceProbe
-	// SourceHome is an answer of the home, which other gateways reported it to.
+	// SourceHome is a reply of the quota home, to which other gateways reported the limit.
 	SourceHome
 	// SourceGateway is an update from another gateway.
 	SourceGateway
-	// SourceExpiry is no update: the target was not met for long.
+	// SourceExpiry means that the target was not in use for so long that its limit expired.
 	SourceExpiry
 )
 
-// String is how log lines name it.
+// String returns the name used in log lines.
 func (s Source) String() string { return [...]string{"answer", "probe", "home", "gateway", "lapse"}[s] }
 
-// KnownLimit is the limit that one target names, as a gateway knows it. The zero KnownLimit is that of
-// a target of which nothing was learnt. It is not safe for concurrent use.
+// KnownLimit is what a gateway knows of the limit of one target. The zero value is that of a
+// target of which nothing is known. It is not safe for concurrent use.
 type KnownLimit struct {
 	advertised Advertised
 	at         time.Time
-	// toggledAt is when a limit was first named, or lifted, last.
+	// toggledAt is when the target last went from no limit to a limit or back.
 	toggledAt time.Time
-	// reportedByProbes says that its answers to probes name limits, so that one without any says
-	// that there is none.
+	// reportedByProbes is set once an answer to a probe carried a limit, so that one without a
+	// limit means that there is none.
 	reportedByProbes bool
 }
 
-// Advertised is the limit.
+// Advertised returns the known limit.
 func (k *KnownLimit) Advertised() Advertised { return k.advertised }
 
-// Age is how long ago the limit was advertised.
+// Age returns the time since the limit was advertised.
 func (k *KnownLimit) Age(now time.Time) time.Duration { return now.Sub(k.at) }
 
-// Observe takes in what was advertised at a moment, unless what is known is younger. It says whether
-// the limit is another one now.
+// Observe records what was advertised at a given time, unless more recent information is known.
+// It reports whether the limit changed.
 func (k *KnownLimit) Observe(at time.Time, advertised Advertised, source Source) (changed bool) {
 	if k.isStale(at, advertised, source) {
 		return false
@@ -126,14 +127,15 @@
 	return changed
 }
 
-// toggles says whether a limit is named where there was none, or none any more.
+// toggles reports whether advertised introduces a limit where there was none, or lifts the
+// known one.
 func (k *KnownLimit) toggles(advertised Advertised) bool {
 	return (advertised.Rate > 0) != (k.advertised.Rate > 0)
 }
 
-// isStale says whether what was advertised changes nothing of what is known. Answers take their
-// time: one that was made before a target first named a limit, or lifted it, may come after
-// the update on that, or just before.
+// isStale reports whether an advertised limit must be ignored. Answers are in transit for a
+// while: one that was produced before the target first advertised a limit, or lifted it, may
+// arrive after the update about that change, or shortly before it.
 func (k *KnownLimit) isStale(at time.Time, advertised Advertised, source Source) bool {
 	switch {
 	case k.toggles(advertised) && at.Sub(k.toggledAt) < maxReplyDelay:
@@ -141,7 +143,7 @@
 	case advertised.Rate > 0:
 		return at.Before(k.at)
 	case source == SourceProbe && !k.reportedByProbes:
-		return true // they never reported limits
+		return true // probes of this target don't carry limits
 	default:
 		return at.Add(maxReplyDelay).Before(k.at)
 	}
--- a/core/gateway/quota/credit.go
+++ b/core/gateway/quota/credit.go
@@ -3,42 +3,41 @@
 import "time"
 
 const (
-	// creditTTL is how long credit may be used that was given for more requests than still
-	// wait, or that a request gave back since it did not run: much less than the windows of
-	// seconds for which limits hold.
+	// creditTTL is how long surplus credit may be used: credit granted for more requests than
+	// are still waiting, or returned for a request that did not run. It is much shorter than
+	// the windows of several seconds over which limits are enforced.
 	creditTTL = 500 * time.Millisecond
-	// maxCredit and maxRefused bound what a gateway holds for one subject: credit, and refused
-	// requests that it asks for later.
+	// maxCredit and maxRefused bound, for one subject, the credit that a gateway holds and the
+	// refused requests that it adds to its next credit request.
 	maxCredit  = 64
 	maxRefused = 64
 )
 
-// Decision is what a Borrower says of a request.
+// Decision is the result of LocalCredit.Use for a request.
 type Decision int
 
-// Answers.
 const (
-	// AskHome says that the home must be asked.
+	// AskHome means that the home must be asked for credit.
 	AskHome Decision = iota
-	// Admit says that there is credit, which was taken.
+	// Admit means that there was credit, which has been consumed.
 	Admit
-	// Refuse says that there is none for a while.
+	// Refuse means that there is no credit for now, and none to be asked for.
 	Refuse
 )
 
-// LocalCredit is what a gateway knows of the credit of one subject. It is not safe for
-// concurrent use.
+// LocalCredit is the credit that a gateway holds for one subject. It is not safe for concurrent
+// use.
 type LocalCredit struct {
-	// expiries holds until when each request's worth may be used, the first to end first.
+	// expiries holds the expiry time of each request's credit, earliest first.
 	expiries []time.Time
-	// refused are requests that were refused since the home was last asked.
+	// refused counts the requests refused since the home was last asked.
 	refused    int
 	pauseUntil time.Time
 	permille   int
 	lastUsed   time.Time
 }
 
-// Use says what is to be done with a request, and takes the credit for it if there is any.
+// Use decides whether a request is admitted, and consumes credit for it if there is any.
 func (c *LocalCredit) Use(now time.Time) Decision {
 	c.lastUsed = now
 	for len(c.expiries) > 0 && !now.Before(c.expiries[0]) {
@@ -56,16 +55,16 @@
 	}
 }
 
-// PauseUntil has no home asked until a moment.
+// PauseUntil prevents credit requests to the home until a given time.
 func (c *LocalCredit) PauseUntil(until time.Time) { c.pauseUntil = until }
 
-// ShortenPause shortens the pause to a part of what is left of it, for a limit that has risen: those
-// that wait come sooner, and not all at once.
+// ShortenPause multiplies the rest of the pause by a factor, after a limit was raised: paused
+// gateways ask sooner, but not all at once.
 func (c *LocalCredit) ShortenPause(now time.Time, factor float64) {
 	c.pauseUntil = now.Add(time.Duration(factor * float64(c.PauseLeft(now))))
 }
 
-// ExhaustedFor is for how long there is no credit to be had; 0 if there may be some.
+// ExhaustedFor returns for how long no credit will be available; 0 if there may be some.
 func (c *LocalCredit) ExhaustedFor(now time.Time) time.Duration {
 	if n := len(c.expiries); n > 0 && now.Before(c.expiries[n-1]) {
 		return 0
@@ -73,7 +72,7 @@
 	return c.PauseLeft(now)
 }
 
-// IsIdle says whether nothing is lost by forgetting the borrower: nobody has used it for long.
+// IsIdle reports whether the credit was unused for so long that it can be dropped without loss.
 func (c *LocalCredit) IsIdle(now time.Time) bool { return now.Sub(c.lastUsed) > forgetAfter }
 
 // Return gives back the credit of a request that did not run and never will.
@@ -85,12 +84,12 @@
 	}
 }
 
-// Demand is for how many requests to ask, of which some wait: those that were refused show
-// what will come.
+// Demand returns how many requests to ask credit for, given the number that wait. Recently
+// refused requests are included as an estimate of those to come.
 func (c *LocalCredit) Demand(waiting int) int { return waiting + c.refused }
 
-// AddGrant takes in what the home gave, of which the requests that waited have their part. It
-// returns how many of these may go on.
+// AddGrant adds the credit that the home granted, of which the waiting requests consume their
+// share. It returns how many of these are admitted.
 func (c *LocalCredit) AddGrant(now time.Time, g Grant, waiting int) (admitted int) {
 	c.refused = 0
 	admitted = min(g.Count, waiting)
@@ -101,9 +100,9 @@
 	return admitted
 }
 
-// Permille is the part of the limit that the home gave out when there was too little last, in
-// thousandths.
+// Permille returns the share of the limit, in thousandths, that the home distributed when it
+// last granted less than was asked for.
 func (c *LocalCredit) Permille() int { return c.permille }
 
-// PauseLeft is for how long there is nothing to be had.
+// PauseLeft returns for how long no credit can be asked for.
 func (c *LocalCredit) PauseLeft(now time.Time) time.Duration { return max(c.pauseUntil.Sub(now), 0) }
--- a/core/gateway/quota/ledger.go
+++ b/core/gateway/quota/ledger.go
@@ -6,62 +6,67 @@
 )
 
 const (
-	// maxAskRate is how many questions a second a home wants for one workspace that asks for
-	// more than its limit: gateways pause between them, and what is due to them meanwhile is
-	// given in one.
+	// maxAskRate is the number of credit requests per second that a home accepts for one
+	// workspace that exceeds its limit. Gateways pause between them, and receive the credit for
+	// the whole pause at once.
 	maxAskRate = 200.0
-	// maxPause bounds that pause, and with it how long a gateway refuses by what it learnt,
-	// and minPause keeps questions apart.
+	// maxPause bounds that pause, and with it how long a gateway refuses requests on the basis
+	// of an earlier grant. minPause keeps credit requests apart.
 	maxPause = 2 * time.Second
 	minPause = 10 * time.Millisecond
-	// slackShare is the share of the tolerance that a bucket holds beside the burst, since
-	// requests come unevenly also of customers within their limits. What else may go wrong has
-	// the rest.
+	// slackShare is the share of the tolerance that a bucket holds in addition to the burst,
+	// since even customers within their limits send requests unevenly. The rest of the
+	// tolerance covers failures.
 	slackShare = 0.3
-	// initialBurst and startSlack are the shares of burst and slack that a bucket begins with. It
-	// may have stood elsewhere until now, and have been full there.
+	// initialBurst and initialSlack are the shares of burst and slack that a new bucket starts
+	// with. The subject may have had a full bucket at another home until now.
 	initialBurst = 0.1
 	initialSlack = 0.25
-	// activeFor is how long a bucket that nobody asks counts as standing here, though gateways
-	// come and go: of a workspace that asks for much questions come several times as often.
+	// activeFor is how long after its last credit request a bucket still counts as in use here
+	// when gateways join or leave. For a workspace with much traffic, credit requests come
+	// several times as often.
 	activeFor = time.Second
-	// stableAfter is how long no gateway came or went until a new bucket counts as never
-	// having stood elsewhere: limits hold for windows of some seconds.
+	// stableAfter is how long no gateway must have joined or left for a new bucket to start
+	// full, since the subject can't have had another home lately: limits are enforced over
+	// windows of several seconds.
 	stableAfter = 5 * time.Second
-	// forgetAfter is how long a bucket is kept that nobody asks, and a borrower that nobody
-	// uses: the one is full by then, and the other has nothing.
+	// forgetAfter is how long an unused bucket or LocalCredit is kept. By then the bucket is
+	// full and the credit has expired.
 	forgetAfter = time.Minute
-	// minDepth is the depth of the smallest bucket, be it of a small part of the fleet: one
-	// request must fit, once it has been earned.
+	// minDepth is the minimum depth of a bucket, even for a small share of the fleet: it must
+	// be able to hold the credit for one request.
 	minDepth = 1.0
 )
 
-// bucket is the credit of one subject (token bucket).
+// bucket is the token bucket of one subject.
 type bucket struct {
 	limit Limit
-	// version is that of a workspace's limit, and named what a target reported of its own.
+	// version is the configuration version of a workspace's limit; known is a target's
+	// advertised limit.
 	version    uint64
 	known      KnownLimit
 	asks       askBounds
 	slack      float64
 	level      float64
 	share      float64
-	refilledAt time.Time // level and share are of this moment
-	// askedAt is when credit was last asked for, asked when it was last given or denied.
+	refilledAt time.Time // when level and share were last updated
+	// askedAt is when credit was last asked for, answeredAt when it was last granted or denied.
 	askedAt    time.Time
 	answeredAt time.Time
-	// nextAsk is when the next gateway should ask that is given too little.
+	// nextAsk is when the next gateway that is granted too little should ask again.
 	nextAsk time.Time
 }
 
-// askBounds bounds the questions for one subject that asks for more than its limit.
+// askBounds bounds the credit requests for one subject that exceeds its limit.
 type askBounds struct {
-	// rate is how many questions a second are wanted, maxPause the longest pause.
+	// rate is the accepted number of credit requests per second, maxPause the longest pause
+	// between those of one gateway.
 	rate     float64
 	maxPause time.Duration
 }
 
-// interval is the time between the turns of two gateways that were given too little.
+// interval is the time between the credit requests of two gateways that were granted too
+// little.
 func (a askBounds) interval() time.Duration { return time.Duration(float64(time.Second) / a.rate) }
 
 // Ledger holds the buckets of the subjects whose home is one gateway. It is not safe for
@@ -72,23 +77,23 @@
 	slack   float64
 }
 
-// NewLedger makes the ledger of a gateway that began at a moment. tolerance is how many
-// requests more than a limit allows may be admitted in any window, whatever happens.
+// NewLedger returns the ledger of a gateway that started at a given time. tolerance is how many
+// requests beyond a limit may be admitted in any window, whatever fails.
 func NewLedger(self uint32, started time.Time, tolerance float64) *Ledger {
 	return &Ledger{members: newMembers(self, started), buckets: map[Subject]*bucket{}, slack: slackShare * tolerance}
 }
 
-// Observe notes that a gateway is there, and whom it takes for homes.
+// Observe records a heartbeat, with the gateways that its sender takes for homes.
 func (l *Ledger) Observe(now time.Time, h Heartbeat) { l.members.observe(now, h) }
 
-// SetFleetSize says about how many gateways there are.
+// SetFleetSize sets the approximate number of gateways.
 func (l *Ledger) SetFleetSize(size int) { l.members.sampleInterval = sampleIntervalFor(size) }
 
-// Fleet is how many gateways there were lately; its size is 0 while that is not known.
+// Fleet returns the recent number of gateways; its size is 0 while that is unknown.
 func (l *Ledger) Fleet(now time.Time) Fleet { return l.members.Fleet(now) }
 
-// Tick forgets gateways that fell silent and buckets that nobody asks. It should be called
-// some times a second.
+// Tick removes gateways whose heartbeats stopped and buckets that are no longer used. Call it
+// several times per second.
 func (l *Ledger) Tick(now time.Time) {
 	l.members.prune(now)
 	for subject, b := range l.buckets {
@@ -102,11 +107,11 @@
 	}
 }
 
-// MergeFleet takes in how large the fleet is to another gateway.
+// MergeFleet merges the fleet size known to another gateway.
 func (l *Ledger) MergeFleet(now time.Time, f Fleet) { l.members.mergeFleet(now, f) }
 
-// Grant gives credit for requests of a subject. ok is false while it is not known how large
-// the fleet is, and with it how much of the limit may be given out here.
+// Grant grants credit for requests of a subject. ok is false while the fleet size is unknown,
+// and with it the share of the limit that may be granted here.
 func (l *Ledger) Grant(now time.Time, r CreditRequest) (grant Grant, ok bool) {
 	share, known := l.members.share(now, r.Subject())
 	b := l.bucket(now, r)
@@ -130,8 +135,8 @@
 	return grant, true
 }
 
-// resetLevel gives a bucket that is new here, or that may have stood elsewhere since it was
-// last asked, no more than it may begin with.
+// resetLevel limits the level of a bucket to its initial level if the bucket is new here, or if
+// the subject may have had another home since the last credit request.
 func (l *Ledger) resetLevel(now time.Time, b *bucket) {
 	switch {
 	case b.answeredAt.IsZero() && now.Sub(l.members.changed) < stableAfter:
@@ -143,8 +148,8 @@
 	}
 }
 
-// bucket finds the bucket of a subject, or makes it: it earns credit from the first question
-// on, be it one that comes before the fleet is known.
+// bucket returns the bucket of a subject, and creates it if necessary. A bucket earns credit
+// from the first credit request on, even from one that arrives before the fleet size is known.
 func (l *Ledger) bucket(now time.Time, r CreditRequest) *bucket {
 	b := l.buckets[r.Subject()]
 	if b == nil {
@@ -158,21 +163,21 @@
 	return b
 }
 
-// updateLimit takes in a limit that is newer than the bucket's.
+// updateLimit applies the limit in a credit request if it is newer than the bucket's.
 func (b *bucket) updateLimit(now time.Time, r CreditRequest) {
 	b.asks = askBounds{rate: maxAskRate, maxPause: maxPause}
 	switch {
 	case r.Target != "":
 		b.known.Observe(now.Add(-r.Age), Advertised{Rate: r.Limit.Rate}, SourceGateway)
 		b.limit = b.known.Advertised().Limit()
-		b.asks = targetAsking(b.limit.Rate)
+		b.asks = targetAskBounds(b.limit.Rate)
 	case r.Version > b.version:
 		b.limit, b.version = r.Limit, r.Version
 	}
 }
 
-// newerLimit is a grant with what is known of a target's limit, where that is another one than the
-// question holds.
+// newerLimit returns a grant with the target's known limit, if that differs from the one in the
+// credit request.
 func (b *bucket) newerLimit(now time.Time, r CreditRequest) Grant {
 	if r.Target == "" || b.limit.Rate == r.Limit.Rate {
 		return Grant{}
@@ -180,25 +185,26 @@
 	return Grant{Newer: true, Rate: b.limit.Rate, Age: b.known.Age(now)}
 }
 
-// initialLevel is the credit that a bucket may begin with.
+// initialLevel is the credit that a bucket starts with.
 func (b *bucket) initialLevel() float64 {
 	return (initialBurst*b.limit.Burst + initialSlack*b.slack) * b.share
 }
 
-// depth is how much the bucket holds, for the part of the fleet whose home it is.
+// depth is the capacity of the bucket, for the share of the fleet whose home this is.
 func (b *bucket) depth() float64 { return max((b.limit.Burst+b.slack)*b.share, minDepth) }
 
-// refill works in what was earned since, by the smaller part of the fleet that was here
-// meanwhile: the rest of it may have had another home.
+// refill adds the credit earned since the last refill, for the smaller of the old and the new
+// share: the rest of the fleet may have used another home meanwhile.
 func (b *bucket) refill(now time.Time, share float64) {
 	earned := now.Sub(b.refilledAt).Seconds() * b.limit.Rate * min(b.share, share)
 	b.share, b.refilledAt = share, now
 	b.level = min(b.level+earned, b.depth())
 }
 
-// pause is for how long a gateway that got too little asks no more: until there is credit
-// for one request, and those have had their turns that were given too little before. So
-// questions come evenly, and no more than are wanted however many gateways there are.
+// pause returns how long a gateway that was granted too little must not ask again: until there
+// is credit for one request, and until the gateways that were granted too little before have
+// asked. This spreads credit requests evenly and bounds their rate independently of the number
+// of gateways.
 func (b *bucket) pause(now time.Time) time.Duration {
 	untilCredit := b.asks.maxPause
 	if rate := b.limit.Rate * b.share; rate > 0 {
@@ -209,7 +215,7 @@
 		askAt = b.nextAsk
 	}
 	if latest := now.Add(b.asks.maxPause); askAt.After(latest) {
-		askAt = latest // else turns would be given out far ahead, and wait for though few ask any more
+		askAt = latest // without this bound, times would be assigned far ahead and few gateways would wait for many that no longer ask
 	}
 	b.nextAsk = askAt.Add(b.asks.interval())
 	return askAt.Sub(now)
--- a/core/gateway/quota/members.go
+++ b/core/gateway/quota/members.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	// HeartbeatEvery is how often a gateway that counts sends the homes a heartbeat, unless
-	// it asks them for credit.
+	// HeartbeatEvery is the interval at which a sampled gateway sends heartbeats to the homes;
+	// credit requests replace them.
 	HeartbeatEvery = 900 * time.Millisecond
-	// MemberTTL is how long a gateway counts after it was last seen. While it turns
-	// to another home its part is given out twice; a heartbeat may come a third of a second late.
+	// MemberTTL is how long a gateway is counted after its last heartbeat, which may be a third
+	// of a second late. It is short because the share of a gateway that switches to another
+	// home is granted twice meanwhile.
 	MemberTTL = 1250 * time.Millisecond
-	// uncertainWeight is for how much a gateway counts that may still count elsewhere, at a home
-	// that it has turned away from. That one may be cut off from it, and give out its part as
-	// well, or have lost power: with none, customers of a home that lost power would have
-	// nothing for a second.
+	// uncertainWeight is the weight of a gateway that may still be counted at the home that it
+	// left. That home may be unreachable for the gateway and still grant its share, or it may
+	// have lost power: with a weight of 0, customers of a home that lost power would get no
+	// credit for a second.
 	uncertainWeight = 0.5
-	// fleetTTL is how long a fleet counts that was larger than what is there now. Those that
-	// are missing may be behind a cut, with another home. A fleet that has shrunk for good
-	// gets less than its limits for so long, which is longer than most cuts last.
+	// fleetTTL is how long a fleet size larger than the current number of members is used. The
+	// missing gateways may be on the other side of a network partition, with another home. A
+	// fleet that has shrunk for good gets less than its limits for this long, which is longer
+	// than most partitions last.
 	fleetTTL = 30 * time.Second
-	// discoveryTime is how long a home that has just begun looks for others before it believes
-	// that there are no more. Gateways that start together announce themselves as soon as they
-	// know a home, within some tenths of a second.
+	// discoveryTime is how long a home that has just started waits for other gateways before it
+	// uses the number of members as the fleet size. Gateways that start together send
+	// heartbeats as soon as they know a home, within a few tenths of a second.
 	discoveryTime = 600 * time.Millisecond
 )
 
@@ -31,20 +33,21 @@
 type member struct {
 	lastSeen time.Time
 	group    string
-	// weight is for how many gateways it weight.
+	// weight is the number of gateways that it represents.
 	weight int
 }
 
-// group are the members that take the same gateways for homes, by how many these represent.
+// group is the set of members that use the same homes; count is the number of gateways that
+// they represent.
 type group struct {
 	homes []uint32
 	count int
-	// uncertain is how many of them may still count at another home, until doubtUntil.
+	// uncertain is how many of them may still be counted at another home, until uncertainUntil.
 	uncertain      int
 	uncertainUntil time.Time
 }
 
-// weight is for how many members the group counts.
+// weight returns the number of gateways that the group counts for.
 func (g *group) weight(now time.Time) float64 {
 	if !now.Before(g.uncertainUntil) {
 		return float64(g.count)
@@ -52,7 +55,7 @@
 	return float64(g.count) - (1-uncertainWeight)*float64(min(g.uncertain, g.count))
 }
 
-// addUncertain notes a member that may still count elsewhere for a while.
+// addUncertain records a member that may still be counted at another home for a while.
 func (g *group) addUncertain(now time.Time, weight int, left time.Duration) {
 	if !now.Before(g.uncertainUntil) {
 		g.uncertain = 0
@@ -63,19 +66,21 @@
 	}
 }
 
-// Members are the gateways that count and that this one gets updates from. Of a large fleet one of so
-// many counts, each by its own guess of the fleet's size, and represents that many: so their
-// sum is the fleet whatever each of them, or the home, takes it for.
+// Members are the sampled gateways that send this one heartbeats. In a large fleet one gateway
+// in N is sampled, by its own estimate of the fleet size, and represents N: so the sum of the
+// weights is the fleet size, whatever each of them, or the home, takes that size to be.
 type Members struct {
 	self    uint32
 	started time.Time
 	members map[uint32]*member
 	groups  map[string]*group
-	// sampleInterval is of how many gateways one counts by this one's own guess; a power of two.
+	// sampleInterval is the N of which one gateway is sampled, by this gateway's own estimate;
+	// a power of two.
 	sampleInterval int
-	// changed is when a member last came, went or took to other homes.
+	// changed is when a member last joined, left or switched homes.
 	changed time.Time
-	// fleet is the greatest size lately, known at a moment; 0 if none was ever reported.
+	// fleet is the largest recent fleet size, and fleetAt when it was known; 0 if none was ever
+	// reported.
 	fleet   int
 	fleetAt time.Time
 }
@@ -84,7 +89,7 @@
 	return &Members{self: self, started: started, sampleInterval: 1, members: map[uint32]*member{}, groups: map[string]*group{}}
 }
 
-// observe notes that a gateway is there.
+// observe records a heartbeat.
 func (m *Members) observe(now time.Time, h Heartbeat) {
 	m.mergeFleet(now, h.Fleet)
 	known := m.members[h.From]
@@ -92,7 +97,7 @@
 	case !h.Counts && known == nil:
 		return
 	case !h.Counts:
-		m.remove(h.From) // it does not count any more, and is there
+		m.remove(h.From) // it is running, but no longer sampled
 	case known == nil || known.group != key:
 		m.setGroup(now, key, h)
 	default:
@@ -102,7 +107,7 @@
 	m.mergeOwnCount(now)
 }
 
-// setGroup puts a gateway into the group of its homes.
+// setGroup moves a gateway to the group that uses its homes.
 func (m *Members) setGroup(now time.Time, key string, h Heartbeat) {
 	m.remove(h.From)
 	m.changed = now
@@ -117,7 +122,7 @@
 	}
 }
 
-// remove takes a gateway out of its group, if it is in any.
+// remove removes a gateway from its group, if it has one.
 func (m *Members) remove(id uint32) {
 	known := m.members[id]
 	if known == nil {
@@ -130,7 +135,8 @@
 	}
 }
 
-// groupKey distinguishes lists of homes, whose order matters to nobody but is mostly the same.
+// groupKey returns a map key for a list of homes. Their order has no meaning, but is mostly the
+// same.
 func groupKey(homes []uint32) string {
 	key := make([]byte, 0, 4*len(homes))
 	for _, home := range homes {
@@ -139,7 +145,7 @@
 	return string(key)
 }
 
-// prune forgets members that fell silent.
+// prune removes members whose heartbeats stopped.
 func (m *Members) prune(now time.Time) {
 	for id, member := range m.members {
 		if now.Sub(member.lastSeen) > MemberTTL {
@@ -149,7 +155,7 @@
 	}
 }
 
-// mergeFleet takes in how large the fleet is to another gateway.
+// mergeFleet merges the fleet size known to another gateway.
 func (m *Members) mergeFleet(now time.Time, f Fleet) {
 	at := now.Add(-f.Age)
 	if f.Size <= 0 || f.Age >= fleetTTL {
@@ -164,7 +170,8 @@
 	}
 }
 
-// mergeOwnCount takes the members for the fleet, once there was time to learn of it.
+// mergeOwnCount uses the number of members as a fleet size, once there was time to discover
+// them.
 func (m *Members) mergeOwnCount(now time.Time) {
 	if m.fleet == 0 && now.Sub(m.started) < discoveryTime {
 		return
@@ -176,14 +183,15 @@
 	m.mergeFleet(now, Fleet{Size: size})
 }
 
-// Fleet is the greatest fleet lately; its size is 0 while none is known.
+// Fleet returns the largest recent fleet size; it is 0 while none is known.
 func (m *Members) Fleet(now time.Time) Fleet {
 	return Fleet{Size: m.fleet, Age: now.Sub(m.fleetAt)}
 }
 
-// share is the part of the fleet that takes this gateway for the home of a subject; false
-// while the fleet is not known. Of a large fleet those that ask may be none of those that
-// count: then there is nobody to share with, or they have the part of one that counts.
+// share returns the share of the fleet that uses this gateway as the home of a subject; known
+// is false while the fleet size is unknown. In a large fleet possibly none of the gateways that
+// ask is sampled: then these together get the share of one sampled gateway, or the whole limit
+// if nobody else is there.
 func (m *Members) share(now time.Time, s Subject) (share float64, known bool) {
 	if m.fleet == 0 {
 		return 1, now.Sub(m.started) >= discoveryTime
@@ -200,13 +208,15 @@
 	return min(attached/float64(m.fleet), 1), true
 }
 
-// maxSampled is about how many gateways of a large fleet count: enough to know parts to some
-// hundredths, and as many heartbeats a second at any size.
+// maxSampled is the maximum number of sampled gateways in a large fleet, approximately: enough
+// to determine shares to a few hundredths, and it bounds the rate of heartbeats at any fleet
+// size.
 const maxSampled = 192
 
-// SampleWeight is for how many gateways one stands by which parts are measured, in a fleet of
-// about a size: each for itself in a small one, in a larger one half of them for two, a quarter
-// for four and so on, always the same ones; 0 for one that does not count.
+// SampleWeight returns how many gateways the given one represents in a fleet of about the given
+// size. In a small fleet each represents itself; in larger ones half of them represent two
+// each, a quarter four, and so on, always the same ones. It is 0 for a gateway that is not
+// sampled.
 func SampleWeight(gateway uint32, fleet int) int {
 	interval := sampleIntervalFor(fleet)
 	if !isSampled(gateway, interval) {
@@ -215,7 +225,8 @@
 	return interval
 }
 
-// sampleIntervalFor is of how many gateways one counts in a fleet of about a size.
+// sampleIntervalFor returns the N of which one gateway is sampled in a fleet of about the given
+// size.
 func sampleIntervalFor(fleet int) int {
 	interval := 1
 	for ; fleet > maxSampled; fleet /= 2 {
@@ -224,5 +235,5 @@
 	return interval
 }
 
-// isSampled says whether a gateway is the one of so many that counts.
+// isSampled reports whether a gateway is the one in interval that is sampled.
 func isSampled(gateway uint32, interval int) bool { return gateway&uint32(interval-1) == 0 }
--- a/core/gateway/quota/shared.go
+++ b/core/gateway/quota/shared.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// maxSharedLimits bounds the limits that gateways exchange. Further ones are advertised by
-	// targets alone: to make room would have each answer of theirs sent to the whole fleet.
+	// maxSharedLimits bounds the number of limits that gateways exchange. Limits beyond it are
+	// known only from the targets' own answers: evicting others to make room would have every
+	// answer of these targets sent to the whole fleet.
 	maxSharedLimits = 256
 	// maxUpdates bounds the limits in one message.
 	maxUpdates = 32
-	// minPublishedChange is the least change of a limit that is published, as a share of it: many move by
-	// a little with each answer, and the home goes by the youngest.
+	// minPublishedChange is the smallest relative change of a limit that is published. Many
+	// limits change a little with each answer, and the home uses the most recent one anyway.
 	minPublishedChange = 0.2
-	// publishEvery is the least time between two changes of one limit that are published, whoever sent
-	// the one before: a target may name one in each second answer.
+	// publishEvery is the minimum time between two published changes of one limit, whichever
+	// gateway published the previous one: a target may advertise a limit in every second
+	// answer.
 	publishEvery = 500 * time.Millisecond
-	// limitTTL and liftedFor are for how long a limit is sent to those that come, once it
-	// changed last: as long as gateways remember a target that nobody meets.
+	// limitTTL and liftedTTL are how long a limit, or the lifting of one, is sent to gateways
+	// that join, counted from its last change: as long as a gateway remembers an unused target.
 	limitTTL  = 10 * time.Minute
 	liftedTTL = time.Minute
 )
 
-// Update is what gateways exchange of the limit that a target names.
+// Update is a target's limit as gateways exchange it.
 type Update struct {
 	Life catalog.Life
-	// Rate is the limit in requests a second; 0 for none any more.
+	// Rate is the limit in requests per second; 0 if it was lifted.
 	Rate float64
-	// Edition grows with each change that a target advertised; of two alike the smaller limit holds.
+	// Edition grows with each published change of the limit. Of two updates with the same
+	// edition the smaller limit wins.
 	Edition uint64
-	// Age is how long ago the target advertised it.
+	// Age is how long ago the target advertised the limit.
 	Age time.Duration
 }
 
-// isValid says whether an update can be taken in.
+// isValid reports whether an update received from another gateway may be merged.
 func (u Update) isValid() bool {
 	return u.Life.ID != "" && u.Rate >= 0 && u.Rate <= maxRate && u.Age >= 0 && u.Age < limitTTL
 }
 
-// supersedes says whether an update replaces what is known at an edition.
+// supersedes reports whether an update replaces a limit known with the given edition and rate.
 func (u Update) supersedes(edition uint64, rate float64) bool {
 	if u.Edition != edition {
 		return u.Edition > edition
@@ -50,15 +53,15 @@
 	return u.Rate != rate && u.Rate != 0 && (rate == 0 || u.Rate < rate)
 }
 
-// sharedLimit is the limit of one target as it was last reported.
+// sharedLimit is the published limit of one target.
 type sharedLimit struct {
 	life    catalog.Life
 	rate    float64
 	edition uint64
 	at      time.Time // when the target advertised it
-	version uint64    // of the board, when it changed here
-	changed time.Time // at that version
-	// latest is what the target reported last, be it held back.
+	version uint64    // position in the log of the latest change here
+	changed time.Time // time of that change
+	// latest is what the target advertised last, whether it has been published or not.
 	latest Advertised
 }
 
@@ -69,26 +72,27 @@
 	return now.Sub(l.at) >= limitTTL
 }
 
-// SharedLimits holds the limits of targets that gateways exchange, so that each knows them
-// before it sends a target anything, and learns at once that one is lifted. Whatever the order
-// in which updates come, all boards end alike (editions), and nobody sends on what it knew. It is
-// not safe for concurrent use.
+// SharedLimits holds the limits of targets that gateways exchange. With them a gateway knows a
+// target's limit before it first sends it a request, and learns at once that a limit was
+// lifted. Editions make all gateways converge on the same limits in whatever order updates
+// arrive, and no gateway forwards an update that it already knew. It is not safe for concurrent
+// use.
 type SharedLimits struct {
 	log    *changes.Log
 	limits map[catalog.Life]*sharedLimit
 }
 
-// NewSharedLimits makes a board that knows of no limit. number is drawn at random, so that others can
-// distinguish it from that of an earlier process.
+// NewSharedLimits returns an empty set of limits. logID is drawn at random, so that other
+// gateways can distinguish the change log from that of an earlier process.
 func NewSharedLimits(logID uint64) *SharedLimits {
 	return &SharedLimits{log: changes.NewLog(logID), limits: map[catalog.Life]*sharedLimit{}}
 }
 
-// Position is how far the board has come.
+// Position returns the position of the latest change.
 func (s *SharedLimits) Position() changes.Position { return s.log.Position() }
 
-// Observe takes in what a target reported of its limit, and says whether others should learn of it now;
-// Tick releases what is held back.
+// Observe records what a target advertised, and reports whether other gateways should receive
+// it now. Changes held back because of publishEvery are published by Tick.
 func (s *SharedLimits) Observe(now time.Time, life catalog.Life, advertised Advertised) (publish bool) {
 	known := s.limits[life]
 	if known == nil {
@@ -98,8 +102,8 @@
 	return s.publishLatest(now, known)
 }
 
-// publishLatest publishes what a target reported last, if it differs by much from what was
-// reported, and that is some time ago.
+// publishLatest publishes what a target advertised last, if that differs enough from the
+// published limit and the previous change is long enough ago.
 func (s *SharedLimits) publishLatest(now time.Time, l *sharedLimit) (published bool) {
 	if !differsEnough(l.rate, l.latest.Rate) || now.Sub(l.changed) < publishEvery {
 		return false
@@ -107,7 +111,7 @@
 	return s.put(now, &sharedLimit{life: l.life, rate: l.latest.Rate, edition: l.edition + 1, at: now, latest: l.latest})
 }
 
-// differsEnough says whether a limit differs by much from the one that was sent.
+// differsEnough reports whether a limit has changed enough to be published again.
 func differsEnough(before, now float64) bool {
 	if before == 0 || now == 0 {
 		return before != now
@@ -115,7 +119,7 @@
 	return math.Abs(now-before) >= minPublishedChange*before
 }
 
-// put takes a notice in as the latest change, if there is room.
+// put stores a limit as the latest change. It reports whether there was room for it.
 func (s *SharedLimits) put(now time.Time, l *sharedLimit) bool {
 	if _, known := s.limits[l.life]; !known && len(s.limits) >= maxSharedLimits {
 		return false
@@ -125,8 +129,8 @@
 	return true
 }
 
-// Merge takes in what another gateway reported, and returns what of it is news here, which others
-// should learn of.
+// Merge applies updates from another gateway and returns those that were new here, which should
+// be forwarded.
 func (s *SharedLimits) Merge(now time.Time, updates []Update) (accepted []Update) {
 	for _, u := range updates {
 		known := s.limits[u.Life]
@@ -141,8 +145,8 @@
 	return accepted
 }
 
-// Since lists what changed since a position of this board, the earliest changes first, and how
-// far that comes: not all where it is much.
+// Since returns the changes after a position in the change log, oldest first, and the position
+// that they lead to. It returns at most maxUpdates of them.
 func (s *SharedLimits) Since(now time.Time, at changes.Position) ([]Update, changes.Position) {
 	after := s.log.After(at)
 	var pending []changes.Change[Update]
@@ -156,8 +160,8 @@
 	return changes.First(s.log, pending, maxUpdates)
 }
 
-// Tick forgets what is sent no more, and says whether anything that was held back should be sent
-// now. It should be called some times a second.
+// Tick removes expired limits, and reports whether it published a change that was held back.
+// Call it several times per second.
 func (s *SharedLimits) Tick(now time.Time) (publish bool) {
 	for life, l := range s.limits {
 		if l.isExpired(now) {
--- a/core/gateway/quota/shared_test.go
+++ b/core/gateway/quota/shared_test.go
@@ -13,137 +13,138 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quota"
 )
 
-var inNeed = catalog.Life{ID: "target-1", Born: 7}
+var limitedTarget = catalog.Life{ID: "target-1", Born: 7}
 
-// rateOn is the limit that a board tells of a target; -1 for nothing.
-func rateOn(b *quota.SharedLimits, life catalog.Life) float64 {
-	updates, _ := b.Since(at(60), changes.Position{})
-	for _, w := range updates {
-		if w.Life == life {
-			return w.Rate
+// publishedRate returns the published limit of a target; -1 if there is none.
+func publishedRate(s *quota.SharedLimits, life catalog.Life) float64 {
+	updates, _ := s.Since(at(60), changes.Position{})
+	for _, u := range updates {
+		if u.Life == life {
+			return u.Rate
 		}
 	}
 	return -1
 }
 
-func TestABoardPublishesLimitsThatMoveByMuch(t *testing.T) {
+func TestSharedLimitsPublishesConsiderableChanges(t *testing.T) {
 	g := NewWithT(t)
-	b := quota.NewSharedLimits(1)
-	g.Expect(b.Position()).To(Equal(changes.Position{}))
-	g.Expect(b.Observe(at(0), inNeed, quota.Advertised{})).To(BeFalse(), "it never named one")
-	g.Expect(b.Observe(at(0), inNeed, quota.Advertised{Rate: 4})).To(BeTrue())
-	g.Expect(b.Observe(at(0.6), inNeed, quota.Advertised{Rate: 4.4})).To(BeFalse())
-	g.Expect(b.Observe(at(0.7), inNeed, quota.Advertised{Rate: 3})).To(BeTrue())
-	g.Expect(b.Observe(at(0.8), inNeed, quota.Advertised{})).To(BeFalse(), "too soon")
-	g.Expect(b.Tick(at(1))).To(BeFalse())
-	g.Expect(b.Tick(at(1.3))).To(BeTrue())
-	g.Expect(b.Observe(at(1.9), inNeed, quota.Advertised{})).To(BeFalse())
-	updates, to := b.Since(at(2), changes.Position{})
-	g.Expect(updates).To(Equal([]quota.Update{{Life: inNeed, Edition: 3, Age: 700 * time.Millisecond}}))
-	again, _ := b.Since(at(2), to)
+	shared := quota.NewSharedLimits(1)
+	g.Expect(shared.Position()).To(Equal(changes.Position{}))
+	g.Expect(shared.Observe(at(0), limitedTarget, quota.Advertised{})).To(BeFalse(), "never advertised a limit")
+	g.Expect(shared.Observe(at(0), limitedTarget, quota.Advertised{Rate: 4})).To(BeTrue())
+	g.Expect(shared.Observe(at(0.6), limitedTarget, quota.Advertised{Rate: 4.4})).To(BeFalse())
+	g.Expect(shared.Observe(at(0.7), limitedTarget, quota.Advertised{Rate: 3})).To(BeTrue())
+	g.Expect(shared.Observe(at(0.8), limitedTarget, quota.Advertised{})).To(BeFalse(), "within publishEvery")
+	g.Expect(shared.Tick(at(1))).To(BeFalse())
+	g.Expect(shared.Tick(at(1.3))).To(BeTrue())
+	g.Expect(shared.Observe(at(1.9), limitedTarget, quota.Advertised{})).To(BeFalse())
+	updates, to := shared.Since(at(2), changes.Position{})
+	g.Expect(updates).To(Equal([]quota.Update{{Life: limitedTarget, Edition: 3, Age: 700 * time.Millisecond}}))
+	again, _ := shared.Since(at(2), to)
 	g.Expect(again).To(BeEmpty())
-	b.Tick(at(62))
-	g.Expect(rateOn(b, inNeed)).To(Equal(-1.0))
+	shared.Tick(at(62))
+	g.Expect(publishedRate(shared, limitedTarget)).To(Equal(-1.0))
 }
 
-func TestAnUpdateThatCantBeTrueIsPassedOver(t *testing.T) {
+func TestMergeIgnoresInvalidUpdates(t *testing.T) {
 	g := NewWithT(t)
-	b := quota.NewSharedLimits(1)
+	shared := quota.NewSharedLimits(1)
 	for _, w := range []quota.Update{
-		{Rate: 1, Edition: 1}, {Life: inNeed, Rate: -1, Edition: 1}, {Life: inNeed, Rate: 1e9, Edition: 1},
-		{Life: inNeed, Rate: 1, Edition: 1, Age: -time.Second}, {Life: inNeed, Rate: 1, Edition: 1, Age: time.Hour},
-		{Life: inNeed, Edition: 1, Age: 2 * time.Minute},
+		{Rate: 1, Edition: 1}, {Life: limitedTarget, Rate: -1, Edition: 1}, {Life: limitedTarget, Rate: 1e9, Edition: 1},
+		{Life: limitedTarget, Rate: 1, Edition: 1, Age: -time.Second}, {Life: limitedTarget, Rate: 1, Edition: 1, Age: time.Hour},
+		{Life: limitedTarget, Edition: 1, Age: 2 * time.Minute},
 	} {
-		g.Expect(b.Merge(at(0), []quota.Update{w})).To(BeEmpty(), "%v", w)
+		g.Expect(shared.Merge(at(0), []quota.Update{w})).To(BeEmpty(), "%v", w)
 	}
 }
 
-// A service of thousands of targets is in need at once.
-func TestABoardIsBounded(t *testing.T) {
+// A service with thousands of targets has limits on all of them at once.
+func TestSharedLimitsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	b := quota.NewSharedLimits(1)
+	shared := quota.NewSharedLimits(1)
 	for i := range 3000 {
-		b.Observe(at(0), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
+		shared.Observe(at(0), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
 	}
-	advertised := map[string]bool{}
+	received := map[string]bool{}
 	for position := (changes.Position{}); ; {
-		updates, to := b.Since(at(1), position)
+		updates, to := shared.Since(at(1), position)
 		g.Expect(len(updates)).To(BeNumerically("<=", 32))
 		if len(updates) == 0 {
 			break
 		}
 		for _, w := range updates {
-			advertised[w.Life.ID] = true
+			received[w.Life.ID] = true
 		}
 		position = to
 	}
-	g.Expect(advertised).To(HaveLen(256))
-	// What has no place is not told with each answer.
-	position := b.Position()
+	g.Expect(received).To(HaveLen(256))
+	// Limits that don't fit are not published with every answer.
+	position := shared.Position()
 	for i := range 3000 {
-		b.Observe(at(1), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
+		shared.Observe(at(1), catalog.Life{ID: fmt.Sprint("target-", i)}, quota.Advertised{Rate: 1})
 	}
-	g.Expect(b.Position()).To(Equal(position))
+	g.Expect(shared.Position()).To(Equal(position))
 }
 
-// A target names a limit in each second answer, at all gateways.
-func TestALimitThatFlapsIsPublishedNowAndThen(t *testing.T) {
+// A target advertises a limit in every second answer, to all gateways.
+func TestAlternatingLimitIsPublishedAtBoundedRate(t *testing.T) {
 	g := NewWithT(t)
-	boards := []*quota.SharedLimits{quota.NewSharedLimits(1), quota.NewSharedLimits(2), quota.NewSharedLimits(3)}
-	advertised := 0
+	gateways := []*quota.SharedLimits{quota.NewSharedLimits(1), quota.NewSharedLimits(2), quota.NewSharedLimits(3)}
+	published := 0
 	for i := range 1000 {
 		now := at(float64(i) / 100)
 		rate := float64(i%2) * 3
-		if b := boards[i%3]; b.Observe(now, inNeed, quota.Advertised{Rate: rate}) || b.Tick(now) {
-			advertised++
-			updates, _ := b.Since(now, changes.Position{})
-			for _, other := range boards {
+		if shared := gateways[i%3]; shared.Observe(now, limitedTarget, quota.Advertised{Rate: rate}) || shared.Tick(now) {
+			published++
+			updates, _ := shared.Since(now, changes.Position{})
+			for _, other := range gateways {
 				other.Merge(now, updates)
 			}
 		}
 	}
-	g.Expect(advertised).To(BeNumerically("<=", 21), "in 10 s")
+	g.Expect(published).To(BeNumerically("<=", 21), "in 10 s")
 }
 
-// Gateways hear what a target told at different times, and tell each other in any order. Once
-// all was told, all know the same, and nobody has anything left to tell.
-func TestBoardsEndAlikeInWhateverOrderUpdatesCome(t *testing.T) {
+// Gateways learn at different times what a target advertised, and exchange updates in any
+// order. Once all updates were exchanged, all gateways know the same limit and none has
+// anything left to send.
+func TestSharedLimitsConvergeInAnyUpdateOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var boards []*quota.SharedLimits
+		var gateways []*quota.SharedLimits
 		for i := range 4 {
-			boards = append(boards, quota.NewSharedLimits(uint64(i+1)))
+			gateways = append(gateways, quota.NewSharedLimits(uint64(i+1)))
 		}
-		observed := map[[2]int]changes.Position{}
+		positions := map[[2]int]changes.Position{}
 		now := 1.0
-		tell := func(from, to int) (isNew bool) {
-			updates, position := boards[from].Since(at(now), observed[[2]int{from, to}])
-			observed[[2]int{from, to}] = position
-			return len(boards[to].Merge(at(now), updates)) > 0
+		exchange := func(from, to int) (accepted bool) {
+			updates, position := gateways[from].Since(at(now), positions[[2]int{from, to}])
+			positions[[2]int{from, to}] = position
+			return len(gateways[to].Merge(at(now), updates)) > 0
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			i, j := rapid.IntRange(0, 3).Draw(t, "i"), rapid.IntRange(0, 3).Draw(t, "j")
 			if i == j {
 				rate := rapid.SampledFrom([]float64{0, 1, 2, 8}).Draw(t, "rate")
 				now += 0.3
-				boards[i].Observe(at(now), inNeed, quota.Advertised{Rate: rate})
+				gateways[i].Observe(at(now), limitedTarget, quota.Advertised{Rate: rate})
 				continue
 			}
-			tell(i, j)
+			exchange(i, j)
 		}
-		for rounds, fresh := 0, true; fresh; rounds++ {
+		for rounds, changed := 0, true; changed; rounds++ {
 			if rounds > 8 {
-				t.Fatal("they go on telling each other")
+				t.Fatal("gateways keep sending updates")
 			}
-			fresh = false
+			changed = false
 			for i := range 4 {
 				for j := range 4 {
-					fresh = i != j && tell(i, j) || fresh
+					changed = i != j && exchange(i, j) || changed
 				}
 			}
 		}
-		for _, b := range boards {
-			if got, want := rateOn(b, inNeed), rateOn(boards[0], inNeed); got != want {
-				t.Fatalf("%v here, %v there", got, want)
+		for _, shared := range gateways {
+			if got, want := publishedRate(shared, limitedTarget), publishedRate(gateways[0], limitedTarget); got != want {
+				t.Fatalf("one gateway has %v, another %v", got, want)
 			}
 		}
 	})
