--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -74,7 +74,7 @@
 	answers   *upstream.Room // for what is held of answers
 	forward   *forward.Handler
 	fatal     *fatal.Register   // requests that end targets
-	quota     *quota.Register   // requests of workspaces that have limits
+	quota     *quota.Limiter    // requests of workspaces that have limits
 	signals   *signals.Register // what targets said of themselves
 	metrics   *metrics.Metrics  // nil without an address to serve them on
 	stopping  atomic.Bool
@@ -141,7 +141,7 @@
 	g.discovery = discovery.New(discovery.Options{
 		Self: self, FirstStart: s.FirstStart, Seeds: func() []string { return g.settings.Load().Seeds },
 		Source: followed(o.Source, s), Decode: g.decode, Timing: timing(s), Places: g.places.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
-		Fatal: g.fatal, LimitsFor: g.quota.LimitsFor, ObserveLimits: g.quota.ObserveLimits, Updates: []discovery.Updates{g.quota.Updates(), g.signals.Updates()},
+		Fatal: g.fatal, LimitsFor: g.quota.SharingLeft, ObserveLimits: g.quota.ExtendSharing, Updates: []discovery.Updates{g.quota.Updates(), g.signals.Updates()},
 	})
 	g.quota.OnUpdate(g.discovery.Wake)
 	g.signals.OnUpdate(g.discovery.Wake)
@@ -164,11 +164,11 @@
 // quotaOptions are those of the register of limits, which is made before discovery.
 func (g *Gateway) quotaOptions(self member.Box, tolerance float64) quota.Options {
 	return quota.Options{
-		Self:     self,
-		Homes:    func(n int) []member.Box { return g.discovery.First(n) },
-		Ranked:   func(n int) []peers.Sighting { return g.discovery.Ranked(n) },
-		Sighted:  func(s []peers.Sighting) { g.discovery.Sighted(s) },
-		Gateways: func() int { return g.discovery.Gateways() }, HasLimits: g.hasLimits,
+		Self:           self,
+		Homes:          func(n int) []member.Box { return g.discovery.First(n) },
+		Ranked:         func(n int) []peers.Sighting { return g.discovery.Ranked(n) },
+		MergeSightings: func(s []peers.Sighting) { g.discovery.Sighted(s) },
+		FleetSize:      func() int { return g.discovery.Gateways() }, HasLimits: g.hasLimits,
 		Tolerance: tolerance, Clock: g.options.Clock, Metrics: g.metrics, Log: g.log,
 	}
 }
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -250,7 +250,7 @@
 	listener net.Listener
 	stop     context.CancelFunc
 	fatal    *fatal.Register // nil where a test does not look at it
-	limits   *quota.Register // likewise
+	limits   *quota.Limiter  // likewise
 	signals  *signals.Register
 	slept    atomic.Int64 // for how long its machine was suspended
 	mu       sync.Mutex
--- a/internal/gateway/discovery/updates_test.go
+++ b/internal/gateway/discovery/updates_test.go
@@ -17,9 +17,9 @@
 var inNeed = catalog.Life{ID: "target-1", Born: 1}
 
 // newLimits makes the limits of targets as a gateway knows them that asks nobody for credit.
-func newLimits() *quota.Register {
+func newLimits() *quota.Limiter {
 	return quota.New(quota.Options{
-		HasLimits: func() bool { return false }, Gateways: func() int { return 1 }, Homes: func(int) []member.Box { return nil },
+		HasLimits: func() bool { return false }, FleetSize: func() int { return 1 }, Homes: func(int) []member.Box { return nil },
 	})
 }
 
@@ -45,12 +45,12 @@
 			before := rate()
 			for i, told := range []string{"3", "1.5", ""} {
 				want := []float64{3, 1.5, 0}[i]
-				fleet.gateways[i].limits.NoteLimit(inNeed, corequota.SourceProbe, nonEmpty(told))
+				fleet.gateways[i].limits.ObserveLimit(inNeed, corequota.SourceProbe, nonEmpty(told))
 				took := untilAllKnow(fleet.gateways, want)
 				fleet.t.Logf("%d gateways, limit %q: known everywhere after %v", size, told, took)
 				g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 				time.Sleep(time.Second)
-				fleet.gateways[2].limits.NoteLimit(inNeed, corequota.SourceProbe, nonEmpty(told)) // so that its probes are known to tell limits
+				fleet.gateways[2].limits.ObserveLimit(inNeed, corequota.SourceProbe, nonEmpty(told)) // so that its probes are known to tell limits
 			}
 			after := rate()
 			fleet.t.Logf("%.0f writes a second and gateway, %.0f before", after, before)
@@ -73,7 +73,7 @@
 		fleet.cutOff(part, false)
 		time.Sleep(time.Second)
 		rest := without(fleet.gateways, part)
-		rest[0].limits.NoteLimit(inNeed, corequota.SourceProbe, []string{"3"})
+		rest[0].limits.ObserveLimit(inNeed, corequota.SourceProbe, []string{"3"})
 		g.Expect(untilAllKnow(rest, 3)).To(BeNumerically("<", time.Second))
 		fleet.fabric.setCut(func(string, string) bool { return false })
 		took := untilAllKnow(part, 3)
--- a/internal/gateway/forward/balancer.go
+++ b/internal/gateway/forward/balancer.go
@@ -21,7 +21,7 @@
 func newBalancer(o Options) *balancer {
 	b := &balancer{options: o, services: newRegistry(o.Retry, o.Log), places: newPlaces(o.Places, o.Log)}
 	o.Pool.OnSignals(o.Signals.Observe)
-	o.Pool.OnLimit(o.Quota.NoteLimit)
+	o.Pool.OnLimit(o.Quota.ObserveLimit)
 	o.Pool.SetGate(b.gate)
 	return b
 }
--- a/internal/gateway/forward/caller_test.go
+++ b/internal/gateway/forward/caller_test.go
@@ -229,12 +229,12 @@
 }
 
 // limited is a register of a fleet of one, which is its own home.
-func limited(t *testing.T) *internalquota.Register {
+func limited(t *testing.T) *internalquota.Limiter {
 	self := member.Box{ID: "gateway-1", Peer: "127.0.0.1:1"}
 	var read atomic.Bool
 	register := internalquota.New(internalquota.Options{
 		Self: self, Homes: func(int) []member.Box { return []member.Box{self} },
-		Gateways: func() int { return 1 }, HasLimits: func() bool { return true },
+		FleetSize: func() int { return 1 }, HasLimits: func() bool { return true },
 		Clock: func() time.Time {
 			if !read.Swap(true) {
 				return time.Now().Add(-time.Minute) // it began long ago, and knows that it is alone
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -73,7 +73,7 @@
 	// sees alone.
 	Fatal *fatal.Register
 	// Quota admits requests of workspaces that have limits; nil admits all.
-	Quota *quota.Register
+	Quota *quota.Limiter
 	// TrustsKeys says whether keys may be relied on that are believed to be in force; nil
 	// for always.
 	TrustsKeys func() bool
--- a/internal/gateway/quota/customers_test.go
+++ b/internal/gateway/quota/customers_test.go
@@ -56,7 +56,7 @@
 }
 
 // draw draws a register: a third of the boxes gets two thirds of the requests.
-func (f *fleet) draw() *quota.Register {
+func (f *fleet) draw() *quota.Limiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.boxes)
@@ -66,7 +66,7 @@
 	return f.boxes[f.draws.IntN(n)].register
 }
 
-func (c *customer) request(ctx context.Context, register *quota.Register) {
+func (c *customer) request(ctx context.Context, register *quota.Limiter) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	asked := time.Now()
--- a/internal/gateway/quota/spread_test.go
+++ b/internal/gateway/quota/exchange_test.go
@@ -16,7 +16,7 @@
 		asking, asked := f.drawSome()
 		for _, other := range asked {
 			if asking != nil {
-				asking.ObserveLimits(other.LimitsFor())
+				asking.ExtendSharing(other.SharingLeft())
 				f.pass(other, asking)
 			}
 		}
@@ -24,7 +24,7 @@
 }
 
 // drawSome draws a box and three others that it reaches.
-func (f *fleet) drawSome() (asking *quota.Register, asked []*quota.Register) {
+func (f *fleet) drawSome() (asking *quota.Limiter, asked []*quota.Limiter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := f.draws.IntN(len(f.boxes))
@@ -39,7 +39,7 @@
 
 // tell passes what a box knows on to its neighbours, those that ask it and those that it asks,
 // which do the same if it is news to them.
-func (f *fleet) tell(i int, register *quota.Register) {
+func (f *fleet) tell(i int, register *quota.Limiter) {
 	for _, j := range f.neighboursOf(i) {
 		go func() {
 			time.Sleep(f.delay())
@@ -73,14 +73,14 @@
 	return out
 }
 
-func (f *fleet) registerOf(i int) *quota.Register {
+func (f *fleet) registerOf(i int) *quota.Limiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.boxes[i].register
 }
 
 // pass has one gateway hear all that another knows of limits, and says whether any was news.
-func (f *fleet) pass(from, to *quota.Register) (isNew bool) {
+func (f *fleet) pass(from, to *quota.Limiter) (isNew bool) {
 	for at := ""; ; {
 		body, next := from.Updates().Since(at)
 		isNew = to.Updates().Merge(body, "gateway") || isNew
--- a/internal/gateway/quota/fleet_test.go
+++ b/internal/gateway/quota/fleet_test.go
@@ -59,7 +59,7 @@
 	index    int
 	box      member.Box
 	lag      time.Duration
-	register *quota.Register
+	register *quota.Limiter
 	server   *rpc.Server
 	stop     context.CancelFunc
 	conns    []net.Conn
@@ -104,12 +104,12 @@
 	lag := time.Duration(20+300*f.float()) * time.Millisecond
 	register := quota.New(quota.Options{
 		Self: b.box, Homes: func(n int) []member.Box { return f.homes(i, n) },
-		Ranked:    func(n int) []peers.Sighting { return f.ranked(i, n) },
-		Sighted:   func(s []peers.Sighting) { f.sighted(i, s) },
-		Gateways:  func() int { return f.gateways(i) },
-		HasLimits: f.limits.Load,
-		Tolerance: quotaTolerance,
-		Dial:      func(ctx context.Context, _, address string) (net.Conn, error) { return f.dial(ctx, i, address) },
+		Ranked:         func(n int) []peers.Sighting { return f.ranked(i, n) },
+		MergeSightings: func(s []peers.Sighting) { f.sighted(i, s) },
+		FleetSize:      func() int { return f.gateways(i) },
+		HasLimits:      f.limits.Load,
+		Tolerance:      quotaTolerance,
+		Dial:           func(ctx context.Context, _, address string) (net.Conn, error) { return f.dial(ctx, i, address) },
 	})
 	register.OnUpdate(func() { go f.tell(i, register) })
 	server := rpc.NewServer()
--- a/internal/gateway/quota/homes.go
+++ b/internal/gateway/quota/homes.go
@@ -14,273 +14,274 @@
 )
 
 const (
-	// homesCount is how many gateways share the work of being homes: one that goes moves a
-	// fourth of the subjects, and each gateway sends four of them heartbeats.
-	homesCount = 4
-	// lookEvery is the pause between two looks at which these are, much less than the time for
-	// which a gateway counts that fell silent.
-	lookEvery = 250 * time.Millisecond
-	// sizeEvery is the least time between two guesses at the fleet's size: each other guess may
-	// have all homes informed.
-	sizeEvery = time.Second
-	// namedFor is how long a gateway that a home named is not new.
-	namedFor = time.Second
-	// idleEvery is that pause where there are no limits, for few wake-ups. The first request
-	// that one bounds ends it.
-	idleEvery = time.Second
+	// homeCount is how many gateways share the work of homes. When one of them stops, a fourth
+	// of the subjects moves, and each gateway sends heartbeats to four homes.
+	homeCount = 4
+	// refreshEvery is the interval at which the homes are determined anew. It is much shorter
+	// than the time for which a gateway is counted after its last heartbeat.
+	refreshEvery = 250 * time.Millisecond
+	// fleetSizeEvery is the minimum time between two estimates of the fleet size, since a
+	// changed estimate may cause heartbeats to all homes.
+	fleetSizeEvery = time.Second
+	// sightingTTL is how long a gateway reported by a home is not treated as new again.
+	sightingTTL = time.Second
+	// idleRefreshEvery replaces refreshEvery while there are no limits, to save wake-ups. The
+	// first request that is subject to a limit ends the wait.
+	idleRefreshEvery = time.Second
 )
 
-// Duties are what a gateway does for quotas, each until its context ends.
-func (r *Register) Duties() []func(context.Context) error {
-	return []func(context.Context) error{r.keepLinks}
+// Duties returns the background tasks of the limiter. Each runs until its context ends.
+func (l *Limiter) Duties() []func(context.Context) error {
+	return []func(context.Context) error{l.maintainLinks}
 }
 
-// keepLinks is the duty of knowing the homes.
-func (r *Register) keepLinks(ctx context.Context) error {
+// maintainLinks keeps links to the current homes.
+func (l *Limiter) maintainLinks(ctx context.Context) error {
 	for {
 		var homes []member.Box
-		wait := idleEvery
-		if r.hasLimits() {
-			homes, wait = r.options.Homes(homesCount), lookEvery
+		wait := idleRefreshEvery
+		if l.hasLimits() {
+			homes, wait = l.options.Homes(homeCount), refreshEvery
 		}
-		r.link(ctx, homes)
+		l.updateLinks(ctx, homes)
 		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return nil
-		case <-r.needed:
+		case <-l.refreshNow:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// hasLimits says whether there is any limit: of a workspace, or of a target, be it one that
-// only others have met.
-func (r *Register) hasLimits() bool { return r.options.HasLimits() || r.LimitsFor() > 0 }
+// hasLimits reports whether there is any limit: of a workspace, or of a target, even if only
+// other gateways have received that one.
+func (l *Limiter) hasLimits() bool { return l.options.HasLimits() || l.SharingLeft() > 0 }
 
-// need has the duty look at once for the homes, if none is known.
-func (r *Register) need() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.needHomes()
+// requireHomes triggers an immediate refresh of the homes if none is known.
+func (l *Limiter) requireHomes() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requireHomesLocked()
 }
 
-// needHomes is need while the lock is held.
-func (r *Register) needHomes() {
-	if len(r.homes) == 0 {
-		r.lookNow()
+// requireHomesLocked is requireHomes for callers that hold the lock.
+func (l *Limiter) requireHomesLocked() {
+	if len(l.homes) == 0 {
+		l.refreshHomes()
 	}
 }
 
-// lookNow has the duty look at once which gateways are homes; the lock is held.
-func (r *Register) lookNow() {
+// refreshHomes makes maintainLinks refresh the homes at once. The lock is held.
+func (l *Limiter) refreshHomes() {
 	select {
-	case r.needed <- struct{}{}:
-	default: // it will
+	case l.refreshNow <- struct{}{}:
+	default: // already triggered
 	}
 }
 
-// link makes links to new homes and ends those to gateways that are none any more.
-func (r *Register) link(ctx context.Context, homes []member.Box) {
-	there := map[uint32]member.Box{}
+// updateLinks opens links to new homes and closes those to gateways that are no longer homes.
+func (l *Limiter) updateLinks(ctx context.Context, homes []member.Box) {
+	homesByID := map[uint32]member.Box{}
 	for _, box := range homes {
-		there[quota.ID(box.ID)] = box
+		homesByID[quota.ID(box.ID)] = box
 	}
-	r.part(ctx, there)
-	// Before the lock: discovery asks for LimitsFor under its own.
-	size, ranked := r.options.Gateways(), r.options.Ranked(homesCount)
-	if r.look(ctx, there, size, ranked) {
-		r.notify()
+	l.detach(ctx, homesByID)
+	// Called before locking: discovery calls SharingLeft while it holds its own lock.
+	fleetSize, ranked := l.options.FleetSize(), l.options.Ranked(homeCount)
+	if l.refresh(ctx, homesByID, fleetSize, ranked) {
+		l.notify()
 	}
 }
 
-// look takes in how the fleet is now, and says whether other gateways should learn of a limit.
-func (r *Register) look(ctx context.Context, there map[uint32]member.Box, size int, ranked []peers.Sighting) (isNew bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.options.Clock()
-	r.ranked, r.rankedAt = ranked, now
-	r.noteSize(now, size)
-	r.ledger.Tick(now)
-	r.forget(now)
-	r.relink(ctx, there)
-	if r.isHome || len(r.homes) == 0 {
-		r.ledger.Observe(now, r.standing(now))
+// refresh updates the state to the current homes and fleet size, and reports whether other
+// gateways should receive a changed limit.
+func (l *Limiter) refresh(ctx context.Context, homes map[uint32]member.Box, size int, ranked []peers.Sighting) (publish bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Clock()
+	l.ranked, l.rankedAt = ranked, now
+	l.updateFleetSize(now, size)
+	l.ledger.Tick(now)
+	l.removeExpired(now)
+	l.setLinks(ctx, homes)
+	if l.isHome || len(l.homes) == 0 {
+		l.ledger.Observe(now, l.heartbeat(now))
 	}
-	return r.board.Tick(now)
+	return l.shared.Tick(now)
 }
 
-// noteSize takes in about how many gateways there are; the lock is held.
-func (r *Register) noteSize(now time.Time, size int) {
-	if now.Sub(r.sizedAt) < sizeEvery {
+// updateFleetSize records the approximate fleet size. The lock is held.
+func (l *Limiter) updateFleetSize(now time.Time, size int) {
+	if now.Sub(l.fleetSizeAt) < fleetSizeEvery {
 		return
 	}
-	before := r.stands()
-	r.size, r.sizedAt = size, now
-	r.ledger.SetFleetSize(r.size)
-	if r.stands() != before {
-		r.hurry() // else homes would count it as before for a while, beside those that represent it
+	before := l.weight()
+	l.fleetSize, l.fleetSizeAt = size, now
+	l.ledger.SetFleetSize(l.fleetSize)
+	if l.weight() != before {
+		l.sendHeartbeats() // otherwise homes would count its old weight for a while, in addition to the gateways that now represent it
 	}
 }
 
-// relink has links to some gateways and to no others; the lock is held.
-func (r *Register) relink(ctx context.Context, there map[uint32]member.Box) {
-	for id, l := range r.links {
-		if !l.isTo(there) {
-			r.turnAway(l)
-			l.stop()
-			delete(r.links, id)
+// setLinks opens and closes links so that they lead to exactly the given homes. The lock is
+// held.
+func (l *Limiter) setLinks(ctx context.Context, homes map[uint32]member.Box) {
+	for id, link := range l.links {
+		if !link.leadsToAny(homes) {
+			l.noteDetached(link)
+			link.stop()
+			delete(l.links, id)
 		}
 	}
-	_, r.isHome = there[r.self]
-	r.linked = len(there) > 0
-	for id, box := range there {
-		if id != r.self && r.links[id] == nil {
-			r.links[id] = newLink(ctx, r, box)
+	_, l.isHome = homes[l.self]
+	l.linked = len(homes) > 0
+	for id, box := range homes {
+		if id != l.self && l.links[id] == nil {
+			l.links[id] = newLink(ctx, l, box)
 		}
 	}
-	if before := r.homes; r.findHomes() && len(before) > 0 {
-		r.hurry() // each home counts those that turn to it
+	if before := l.homes; l.updateHomes() && len(before) > 0 {
+		l.sendHeartbeats() // each home counts the gateways that use it
 	}
 }
 
-// findHomes notes which homes answer, and says whether these are others than before; the lock
-// is held.
-func (r *Register) findHomes() (changed bool) {
-	homes := make([]uint32, 0, len(r.links)+1)
-	if r.isHome {
-		homes = append(homes, r.self)
+// updateHomes records which homes reply, and reports whether they changed. The lock is held.
+func (l *Limiter) updateHomes() (changed bool) {
+	homes := make([]uint32, 0, len(l.links)+1)
+	if l.isHome {
+		homes = append(homes, l.self)
 	}
-	for id, l := range r.links {
-		if !l.failed {
+	for id, link := range l.links {
+		if !link.failed {
 			homes = append(homes, id)
 		}
 	}
 	slices.Sort(homes)
-	changed = !slices.Equal(homes, r.homes)
-	r.homes = homes // a new one each time: questions under way hold the one before
+	changed = !slices.Equal(homes, l.homes)
+	l.homes = homes // always a new slice: credit requests in progress hold the previous one
 	return changed
 }
 
-// stands is for how many gateways this one stands where parts are measured; 0 if it does not
-// count. The lock is held.
-func (r *Register) stands() int { return quota.SampleWeight(r.self, r.size) }
+// weight is how many gateways this one represents when shares are measured; 0 if it is not
+// sampled. The lock is held.
+func (l *Limiter) weight() int { return quota.SampleWeight(l.self, l.fleetSize) }
 
-// beats says whether a home is sent a heartbeat: where it counts, and where
-// the home did not answer last time.
-func (r *Register) beats(l *link) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.stands() > 0 || l.failed
+// needsHeartbeat reports whether a home is sent heartbeats: if this gateway is sampled, or if
+// the home did not reply last time.
+func (l *Limiter) needsHeartbeat(link *link) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.weight() > 0 || link.failed
 }
 
-// forget drops what is known of the credit of subjects that nobody uses, of targets that were not
-// met for long, and of gateways that homes named; the lock is held.
-func (r *Register) forget(now time.Time) {
-	maps.DeleteFunc(r.borrowers, func(_ quota.Subject, b *quota.LocalCredit) bool { return b.IsIdle(now) })
-	maps.DeleteFunc(r.namedAt, func(_ uint32, at time.Time) bool { return now.Sub(at) >= namedFor })
-	for life, t := range r.targets {
-		if t.isForgotten(now) {
-			r.takeLimit(t, now, quota.Advertised{}, quota.SourceExpiry)
-			delete(r.targets, life)
+// removeExpired drops unused credit, targets not in use for long, and old sightings reported by
+// homes. The lock is held.
+func (l *Limiter) removeExpired(now time.Time) {
+	maps.DeleteFunc(l.credits, func(_ quota.Subject, c *quota.LocalCredit) bool { return c.IsIdle(now) })
+	maps.DeleteFunc(l.sightedAt, func(_ uint32, at time.Time) bool { return now.Sub(at) >= sightingTTL })
+	for life, t := range l.targets {
+		if t.isExpired(now) {
+			l.applyLimit(t, now, quota.Advertised{}, quota.SourceExpiry)
+			delete(l.targets, life)
 		}
 	}
 }
 
-// question asks a home for credit for requests that wait.
-func (r *Register) question(l *link, waiting map[quota.Subject][]*ask) AskArgs {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.options.Clock()
-	args := AskArgs{Standing: r.standing(now)}
-	if l.parting != nil {
-		args.Standing.Homes = l.parting
+// askArgs returns the arguments of a call that asks a home for credit for the waiting requests.
+func (l *Limiter) askArgs(link *link, waiting map[quota.Subject][]*pendingAsk) AskArgs {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Clock()
+	args := AskArgs{Standing: l.heartbeat(now)}
+	if link.newHomes != nil {
+		args.Standing.Homes = link.newHomes
 	}
 	for subject, asks := range waiting {
-		latest := slices.MaxFunc(asks, func(a, b *ask) int { return int(a.version) - int(b.version) })
-		args.Wants = append(args.Wants, latest.want(now, r.borrower(subject), count(asks)))
+		latest := slices.MaxFunc(asks, func(a, b *pendingAsk) int { return int(a.version) - int(b.version) })
+		args.Wants = append(args.Wants, latest.creditRequest(now, l.localCredit(subject), totalCount(asks)))
 	}
 	return args
 }
 
-// count is how many requests wait.
-func count(asks []*ask) (n int) {
+// totalCount returns the number of requests that wait.
+func totalCount(asks []*pendingAsk) (n int) {
 	for _, a := range asks {
 		n += a.count
 	}
 	return n
 }
 
-// take works in what came of a question, and answers the requests that waited.
-func (r *Register) take(l *link, args AskArgs, reply AskReply, err error, waiting map[quota.Subject][]*ask) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.options.Clock()
-	r.noteAnswered(l, err)
+// handleReply applies the result of a call to a home, and answers the waiting requests.
+func (l *Limiter) handleReply(link *link, args AskArgs, reply AskReply, err error, waiting map[quota.Subject][]*pendingAsk) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Clock()
+	l.noteResult(link, err)
 	if err != nil {
 		for _, asks := range waiting {
 			for _, a := range asks {
-				a.answer <- answer{err: err}
+				a.result <- askResult{err: err}
 			}
 		}
 		return
 	}
-	r.ledger.MergeFleet(now, reply.Fleet)
-	l.noteParted(args.Standing)
-	for i, want := range args.Wants {
-		asks, grant := waiting[want.Subject()], reply.Grants[i]
-		asks[0].observe(r, now, grant)
-		goOn := r.borrower(want.Subject()).AddGrant(now, grant, count(asks))
+	l.ledger.MergeFleet(now, reply.Fleet)
+	link.noteHeartbeat(args.Standing)
+	for i, request := range args.Wants {
+		asks, grant := waiting[request.Subject()], reply.Grants[i]
+		asks[0].applyNewerLimit(l, now, grant)
+		admitted := l.localCredit(request.Subject()).AddGrant(now, grant, totalCount(asks))
 		for _, a := range asks {
-			a.answer <- answer{granted: a.count <= goOn}
-			goOn -= min(a.count, goOn)
+			a.result <- askResult{granted: a.count <= admitted}
+			admitted -= min(a.count, admitted)
 		}
 	}
 }
 
-// turnAway notes that this gateway does not turn to a home any more, where that may go on
-// counting it; the lock is held.
-func (r *Register) turnAway(l *link) {
-	if !l.refused && !l.hasParted() && l.observed.After(r.left) {
-		r.left = l.observed
+// noteDetached records that this gateway stops using a home that may still count it. The lock
+// is held.
+func (l *Limiter) noteDetached(link *link) {
+	if !link.refused && !link.isDetached() && link.repliedAt.After(l.detachedAt) {
+		l.detachedAt = link.repliedAt
 	}
 }
 
-// hurry asks all homes whether they still answer: this gateway may be cut off from more than
-// one. The lock is held.
-func (r *Register) hurry() {
-	for _, l := range r.links {
+// sendHeartbeats sends a heartbeat to all homes, to learn which still reply: more than one may
+// have become unreachable. The lock is held.
+func (l *Limiter) sendHeartbeats() {
+	for _, link := range l.links {
 		select {
-		case l.hurry <- struct{}{}:
-		default: // it is asked already
+		case link.heartbeatNow <- struct{}{}:
+		default: // already triggered
 		}
 	}
 }
 
-// noteAnswered notes whether a home answered; the lock is held.
-func (r *Register) noteAnswered(l *link, err error) {
-	failed := err != nil && !errors.Is(err, errUnsettled)
-	l.refused = failed && !errors.Is(err, rpclink.ErrNoAnswer)
+// noteResult records whether a home replied. The lock is held.
+func (l *Limiter) noteResult(link *link, err error) {
+	failed := err != nil && !errors.Is(err, errFleetUnknown)
+	link.refused = failed && !errors.Is(err, rpclink.ErrNoAnswer)
 	if !failed {
-		l.observed = r.options.Clock()
+		link.repliedAt = l.options.Clock()
 	}
 	if failed {
-		r.options.Metrics.QuotaAsked(resultFailed)
+		l.options.Metrics.QuotaAsked(resultFailed)
 	} else {
-		r.options.Metrics.QuotaAsked(resultAnswered)
+		l.options.Metrics.QuotaAsked(resultAnswered)
 	}
-	if failed == l.failed {
+	if failed == link.failed {
 		return
 	}
-	l.failed = failed
-	r.findHomes()
+	link.failed = failed
+	l.updateHomes()
 	if failed {
-		r.turnAway(l)
-		r.options.Log.Info("quota home lost", "peer", l.box.ID, "address", l.box.Peer, "error", err.Error())
-		r.hurry()
+		l.noteDetached(link)
+		l.options.Log.Info("quota home lost", "peer", link.box.ID, "address", link.box.Peer, "error", err.Error())
+		l.sendHeartbeats()
 		return
 	}
-	r.options.Log.Info("quota home back", "peer", l.box.ID, "address", l.box.Peer)
+	l.options.Log.Info("quota home back", "peer", link.box.ID, "address", link.box.Peer)
 }
--- a/internal/gateway/quota/link.go
+++ b/internal/gateway/quota/link.go
@@ -12,166 +12,170 @@
 )
 
 const (
-	// askWithin bounds how long a home may take to answer: gateways whose share of a core is
-	// spent stand still for up to a tenth of a second.
-	askWithin = 150 * time.Millisecond
-	// keptAsks bounds the questions that wait for one home.
-	keptAsks = 256
+	// askTimeout bounds the reply time of a home. A gateway that has used up its CPU quota is
+	// throttled for up to a tenth of a second.
+	askTimeout = 150 * time.Millisecond
+	// maxQueuedAsks bounds the number of requests that wait for one home.
+	maxQueuedAsks = 256
 )
 
-// Results of a question to a home, as metrics name them.
+// Results of a call to a home, as metrics name them.
 const (
 	resultAnswered = "answered"
 	resultFailed   = "failed"
 )
 
 var (
-	errSilent  = errors.New("the home did not answer")
-	errCrowded = errors.New("too many requests wait for the home's answer")
+	errNoReply   = errors.New("the quota home did not reply")
+	errQueueFull = errors.New("too many requests are waiting for the quota home")
 )
 
-// ask is one request that waits for credit.
-type ask struct {
+// pendingAsk is a request that waits for credit.
+type pendingAsk struct {
 	subject quota.Subject
-	// limit and version are those of a workspace, target is the target.
+	// limit and version are set for a workspace, target is set for a target.
 	limit   quota.Limit
 	version uint64
 	target  *target
-	// count is 1, or 0 where a target's limit is to be sent and no request waits.
+	// count is 1, or 0 if no request waits and only a target's limit is to be sent.
 	count int
-	// answer has room for the one answer.
-	answer chan answer
+	// result has a buffer for the single result.
+	result chan askResult
 }
 
-// answer is what came of an ask.
-type answer struct {
+// askResult is the result of a pendingAsk.
+type askResult struct {
 	granted bool
 	err     error
 }
 
-func newAsk(w *workspace.Workspace, version uint64) *ask {
-	return &ask{subject: quota.Subject{Workspace: w.Name()}, limit: w.Limit(), version: version, count: 1}
+func newWorkspaceAsk(w *workspace.Workspace, version uint64) *pendingAsk {
+	return &pendingAsk{subject: quota.Subject{Workspace: w.Name()}, limit: w.Limit(), version: version, count: 1}
 }
 
-// newTargetAsk asks for a number of requests to a target.
-func newTargetAsk(t *target, count int) *ask {
-	return &ask{subject: t.subject, target: t, count: count}
+// newTargetAsk returns a pendingAsk for count requests to a target.
+func newTargetAsk(t *target, count int) *pendingAsk {
+	return &pendingAsk{subject: t.subject, target: t, count: count}
 }
 
-// want is what to ask for, for a number of requests like it that wait; the register's lock is
-// held. Requests that were refused go to other targets and don't come back to this one.
-func (a *ask) want(now time.Time, b *quota.LocalCredit, waiting int) quota.CreditRequest {
+// creditRequest returns the credit request for a number of waiting requests of the same
+// subject. Refused requests to a target are not added, since they go to other targets and don't
+// come back. The limiter's lock is held.
+func (a *pendingAsk) creditRequest(now time.Time, credit *quota.LocalCredit, waiting int) quota.CreditRequest {
 	if a.target == nil {
-		return quota.CreditRequest{Workspace: a.subject.Workspace, Limit: a.limit, Version: a.version, Count: b.Demand(waiting)}
+		return quota.CreditRequest{Workspace: a.subject.Workspace, Limit: a.limit, Version: a.version, Count: credit.Demand(waiting)}
 	}
-	named := &a.target.named
-	return quota.CreditRequest{Target: a.subject.Target, Limit: named.Advertised().Limit(), Age: named.Age(now), Count: waiting}
+	known := &a.target.known
+	return quota.CreditRequest{Target: a.subject.Target, Limit: known.Advertised().Limit(), Age: known.Age(now), Count: waiting}
 }
 
-// observe takes in what a home knows of the target's limit that is younger; the register's lock
-// is held.
-func (a *ask) observe(r *Register, now time.Time, g quota.Grant) {
+// applyNewerLimit applies a more recent limit of the target that a home reported. The limiter's
+// lock is held.
+func (a *pendingAsk) applyNewerLimit(limiter *Limiter, now time.Time, g quota.Grant) {
 	if a.target != nil && g.Newer {
-		r.takeLimit(a.target, now.Add(-g.Age), quota.Advertised{Rate: g.Rate}, quota.SourceHome)
+		limiter.applyLimit(a.target, now.Add(-g.Age), quota.Advertised{Rate: g.Rate}, quota.SourceHome)
 	}
 }
 
-// link is the way to one home. While one question is under way, requests that come gather
-// for the next.
+// link is the connection to one home. While a call is in progress, further requests queue for
+// the next one.
 type link struct {
-	register *Register
-	box      member.Box
-	rpc      *rpclink.Link
-	asks     chan *ask
-	stop     context.CancelFunc
-	// hurry asks whether the home still answers.
-	hurry chan struct{}
-	// ended is closed once nobody takes questions any more.
-	ended chan struct{}
-	// failed says that the home did not answer last time, refused that nobody listens there any
-	// more, and heard is when it last answered. The register's lock guards them.
+	limiter *Limiter
+	box     member.Box
+	rpc     *rpclink.Link
+	queue   chan *pendingAsk
+	stop    context.CancelFunc
+	// heartbeatNow triggers a heartbeat, to learn whether the home still replies.
+	heartbeatNow chan struct{}
+	// done is closed once the link serves no more requests.
+	done chan struct{}
+	// failed is set if the home did not reply last time, refused if nothing listens at its
+	// address any more; repliedAt is the time of its last reply. The limiter's lock guards
+	// them.
 	failed, refused bool
-	observed        time.Time
-	// parting are the homes that this gateway turns to instead of this one, once it leaves it,
-	// and parted is closed once this one has heard so. The register's lock guards them.
-	parting []uint32
-	parted  chan struct{}
+	repliedAt       time.Time
+	// newHomes are the homes that this gateway uses instead of this one while it detaches from
+	// it, and detached is closed once this home has received them. The limiter's lock guards
+	// them.
+	newHomes []uint32
+	detached chan struct{}
 }
 
-// newLink makes the link to a home and starts its work, which goes on until ctx ends.
-func newLink(ctx context.Context, r *Register, box member.Box) *link {
-	l := &link{register: r, box: box, rpc: rpclink.New(r.options.Dial, askWithin), asks: make(chan *ask, keptAsks), hurry: make(chan struct{}, 1), ended: make(chan struct{})}
+// newLink opens a link to a home. The link runs until ctx ends.
+func newLink(ctx context.Context, limiter *Limiter, box member.Box) *link {
+	l := &link{limiter: limiter, box: box, rpc: rpclink.New(limiter.options.Dial, askTimeout), queue: make(chan *pendingAsk, maxQueuedAsks), heartbeatNow: make(chan struct{}, 1), done: make(chan struct{})}
 	ctx, l.stop = context.WithCancel(ctx)
 	go l.run(ctx)
 	return l
 }
 
-// ask has a request take part in the next question, and waits for the answer.
-func (l *link) ask(ctx context.Context, a *ask) (granted bool, err error) {
-	a.answer = make(chan answer, 1)
+// ask queues a request for the next call and waits for its result.
+func (l *link) ask(ctx context.Context, a *pendingAsk) (granted bool, err error) {
+	a.result = make(chan askResult, 1)
 	select {
-	case l.asks <- a:
+	case l.queue <- a:
 	default:
-		return false, errCrowded
+		return false, errQueueFull
 	}
 	select {
-	case got := <-a.answer:
-		return got.granted, got.err
-	case <-l.ended:
-		return false, errSilent
+	case result := <-a.result:
+		return result.granted, result.err
+	case <-l.done:
+		return false, errNoReply
 	case <-ctx.Done():
-		go l.giveBack(a)
+		go l.returnCredit(a)
 		return false, ctx.Err()
 	}
 }
 
-// giveBack waits for the answer to a request that is gone, and gives its credit to another.
-func (l *link) giveBack(a *ask) {
+// returnCredit waits for the result of a request that was abandoned, and makes its credit
+// available to others.
+func (l *link) returnCredit(a *pendingAsk) {
 	select {
-	case got := <-a.answer:
-		if got.granted {
-			(&Credit{register: l.register, subject: a.subject}).Return()
+	case result := <-a.result:
+		if result.granted {
+			(&Credit{limiter: l.limiter, subject: a.subject}).Return()
 		}
-	case <-l.ended:
+	case <-l.done:
 	}
 }
 
-// run asks for what waits, and sends the home heartbeats.
+// run calls the home for queued requests, and sends it heartbeats.
 func (l *link) run(ctx context.Context) {
-	defer l.end()
-	if l.register.beats(l) {
-		l.settle(ctx, nil)
+	defer l.close()
+	if l.limiter.needsHeartbeat(l) {
+		l.send(ctx, nil)
 	}
 	for {
-		beat := time.NewTimer(quota.HeartbeatEvery)
+		heartbeat := time.NewTimer(quota.HeartbeatEvery)
 		select {
 		case <-ctx.Done():
-			beat.Stop()
+			heartbeat.Stop()
 			return
-		case first := <-l.asks:
-			l.settle(ctx, l.gather(first))
-		case <-l.hurry:
-			l.settle(ctx, nil)
-		case <-beat.C:
-			if l.register.beats(l) {
-				l.settle(ctx, nil)
+		case first := <-l.queue:
+			l.send(ctx, l.drainQueue(first))
+		case <-l.heartbeatNow:
+			l.send(ctx, nil)
+		case <-heartbeat.C:
+			if l.limiter.needsHeartbeat(l) {
+				l.send(ctx, nil)
 			}
 		}
-		beat.Stop()
+		heartbeat.Stop()
 	}
 }
 
-// end lets go of what still waits.
-func (l *link) end() {
+// close closes the connection and releases the requests that still wait.
+func (l *link) close() {
 	l.rpc.Close()
-	close(l.ended)
+	close(l.done)
 }
 
-// gather takes what waits, behind what was taken already.
-func (l *link) gather(asks ...*ask) []*ask {
+// drainQueue appends the queued requests to asks.
+func (l *link) drainQueue(asks ...*pendingAsk) []*pendingAsk {
 	for {
 		select {
-		case a := <-l.asks:
+		case a := <-l.queue:
 			asks = append(asks, a)
 		default:
 			return asks
@@ -179,19 +183,19 @@
 	}
 }
 
-// settle asks the home for all of some requests and answers them.
-func (l *link) settle(ctx context.Context, asks []*ask) {
-	bySubject := map[quota.Subject][]*ask{}
+// send calls the home for some requests, possibly none, and answers them.
+func (l *link) send(ctx context.Context, asks []*pendingAsk) {
+	bySubject := map[quota.Subject][]*pendingAsk{}
 	for _, a := range asks {
 		bySubject[a.subject] = append(bySubject[a.subject], a)
 	}
-	args := l.register.question(l, bySubject)
+	args := l.limiter.askArgs(l, bySubject)
 	reply, err := rpclink.Call[AskReply](ctx, l.rpc, l.box.Peer, methodAsk, args)
 	if err == nil && len(reply.Grants) != len(args.Wants) {
-		err = errUnsettled
+		err = errFleetUnknown
 	}
-	l.register.take(l, args, reply, err, bySubject)
+	l.limiter.handleReply(l, args, reply, err, bySubject)
 	if err == nil && len(reply.First) > 0 {
-		l.register.hearFirst(reply.First)
+		l.limiter.mergeSightings(reply.First)
 	}
 }
--- a/internal/gateway/quota/protocol.go
+++ b/internal/gateway/quota/protocol.go
@@ -5,26 +5,26 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quota"
 )
 
-// Gateways call each other by net/rpc. The names of the service, its method and the fields
-// of its messages stay, since processes of two versions talk during a roll; one of an
-// earlier version answers that it has no such service, and is passed over.
+// Gateways call each other by net/rpc. The names of the service, its method and the message
+// fields must not change, since processes of two versions communicate during a rolling update.
+// A gateway of a version without the service replies with an error and is skipped.
 const (
 	serviceName = "Quota"
 	methodAsk   = serviceName + ".Ask"
 )
 
-// AskArgs is a heartbeat, and asks for credit.
+// AskArgs is a heartbeat with credit requests.
 type AskArgs struct {
 	Standing quota.Heartbeat
 	Wants    []quota.CreditRequest
 }
 
-// AskReply has a grant for each want, in order; none where the home does not know yet how
-// large the fleet is.
+// AskReply contains a grant for each credit request, in the same order; none if the home does
+// not know the fleet size yet.
 type AskReply struct {
 	Grants []quota.Grant
 	Fleet  quota.Fleet
-	// First are those of the gateways that rank first, as the home knows them, that the caller
-	// does not take for homes.
+	// First are those of the gateways that rank first, according to the home, that the caller
+	// does not use as homes.
 	First []peers.Sighting
 }
--- a/internal/gateway/quota/quota.go
+++ b/internal/gateway/quota/quota.go
@@ -1,38 +1,39 @@
-// Package quota has each request of a workspace that has a limit admitted, or refused,
-// before it goes anywhere, and each send to a target that names one: it asks the home of the
-// limit for credit, and answers others as a home. The rules are core/gateway/quota's.
+// Package quota admits or refuses each request of a workspace that has a limit, before it is
+// forwarded, and each request to a target that advertises a limit. It asks the home of the
+// limit for credit, and serves other gateways as a home. core/gateway/quota contains the rules.
 //
-// It owns the ledger of this gateway, what it knows of the credit of each subject and of the
-// limits that targets name, under one lock, and a connection to each gateway that may be a
-// home. It relies on internal/gateway/discovery for which these are, on whoever speaks with
-// targets for what these name, and on other gateways by net/rpc. A home that does not answer
-// is passed over until it does; without any, a gateway is its own home, with the small part
-// of a limit that falls to it.
+// The package owns this gateway's ledger, its credit for each subject and the known limits of
+// targets, under one lock, and a connection to each gateway that may be a home. It relies on
+// internal/gateway/discovery for the candidates, on the code that communicates with targets for
+// their advertised limits, and on other gateways by net/rpc. A home that does not reply is
+// skipped until it does. Without any other home, a gateway is its own home, with the small
+// share of a limit that belongs to it.
 //
-// Nothing is said, and no connection made, while there is no limit. It calls nothing that it
-// is given while it holds its lock, but the clock, the log and the metrics.
+// While there are no limits, no messages are sent and no connections opened. While it holds its
+// lock, the package calls none of the functions in its options except the clock, the log and
+// the metrics.
 //
-// The jobs, each with a file:
+// The files:
 //
-//	quota.go     admitting a request of a workspace
-//	targets.go   what targets name, and admitting a send to one
-//	updates.go   what gateways exchange of limits that targets name
-//	link.go      asking one home, and telling it that this gateway is there
-//	homes.go     the duty of keeping a link to each home; part.go: leaving one
-//	serve.go     answering other gateways; protocol.go: what gateways say to each other
+//	quota.go     admission of requests of a workspace
+//	targets.go   advertised limits, and admission of requests to a target
+//	updates.go   exchange of advertised limits between gateways
+//	link.go      calls and heartbeats to one home
+//	homes.go     the background task that keeps a link to each home; detach.go: leaving a home
+//	serve.go     serving other gateways; protocol.go: the messages
 //
 // # Usage
 //
-//	register := quota.New(quota.Options{Self: self, Homes: follower.First, ...})
-//	follower.Serve(listener, register.Service())
-//	credit, failure := register.Admit(ctx, workspace, version)
+//	limiter := quota.New(quota.Options{Self: self, Homes: follower.First, ...})
+//	follower.Serve(listener, limiter.Service())
+//	credit, failure := limiter.Admit(ctx, workspace, version)
 //	if failure != nil {
 //		// refused; nothing was sent
 //	}
 //	credit.Return() // if the request did not run after all
 //
-//	register.NoteLimit(target.Life(), quota.ViaProbe, limit)
-//	credit, ok := register.AdmitTarget(ctx, target.Life())
+//	limiter.ObserveLimit(target.Life(), quota.SourceProbe, values)
+//	credit, ok := limiter.AdmitTarget(ctx, target.Life())
 package quota
 
 import (
@@ -58,35 +59,36 @@
 )
 
 const (
-	// maxTries is how many homes one request asks of which none answers: some may have gone
-	// together.
+	// maxTries is how many homes are asked for one request if none replies: several may have
+	// stopped together.
 	maxTries = 4
-	// unsettledPause is the wait before asking again where no home knows yet how large the
-	// fleet is, maxUnsettled how often that is done for one request, and notReadyRetryAfter
-	// when a client should come back that found none. A gateway that starts finds the others in
-	// a tenth of a second, a fleet that starts knows itself after some tenths.
-	unsettledPause     = 20 * time.Millisecond
-	maxUnsettled       = 10
+	// fleetUnknownPause is the wait before another attempt when no home knows the fleet size
+	// yet, maxFleetUnknown the number of such attempts per request, and notReadyRetryAfter the
+	// delay announced to a client whose request still found none. A gateway that starts
+	// discovers the others within a tenth of a second; a fleet that starts knows its size after
+	// several tenths.
+	fleetUnknownPause  = 20 * time.Millisecond
+	maxFleetUnknown    = 10
 	notReadyRetryAfter = 300 * time.Millisecond
 )
 
-// Options configure a Register.
+// Options configures a Limiter.
 type Options struct {
 	Self member.Box
-	// Homes gives up to n gateways that rank first, this one among them if it does.
+	// Homes returns up to n gateways that rank first, including this one if it does.
 	Homes func(n int) []member.Box
-	// Ranked gives the same as sightings that may be passed on, and Sighted takes such in; nil
-	// where homes pass none on.
-	Ranked  func(n int) []peers.Sighting
-	Sighted func([]peers.Sighting)
-	// Gateways is about how many gateways there are.
-	Gateways func() int
-	// HasLimits says whether any workspace has a limit.
+	// Ranked returns the same as sightings that may be forwarded, and MergeSightings merges
+	// such sightings. Both are nil if homes don't exchange sightings.
+	Ranked         func(n int) []peers.Sighting
+	MergeSightings func([]peers.Sighting)
+	// FleetSize returns the approximate number of gateways.
+	FleetSize func() int
+	// HasLimits reports whether any workspace has a limit.
 	HasLimits func() bool
-	// Tolerance is how many requests more than a limit allows may be admitted in any window.
+	// Tolerance is how many requests beyond a limit may be admitted in any window.
 	Tolerance float64
 	Clock     func() time.Time
-	// Draw gives numbers that no other gateway draws as well.
+	// Draw returns random numbers that no other gateway draws as well.
 	Draw func() uint64
 	// Metrics may be nil.
 	Metrics *metrics.Metrics
@@ -94,163 +96,164 @@
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Register admits the requests of workspaces that have limits.
-type Register struct {
+// Limiter admits requests of workspaces that have limits, and requests to targets that
+// advertise limits. It is safe for concurrent use.
+type Limiter struct {
 	options Options
 	self    uint32
-	// limited is how many targets are known to name limits.
-	limited atomic.Int64
+	// limitedCount is the number of targets with a known limit.
+	limitedCount atomic.Int64
 
-	mu        sync.Mutex
-	ledger    *quota.Ledger
-	borrowers map[quota.Subject]*quota.LocalCredit
-	// targets are those that name limits, or did lately, and board what gateways exchange
-	// other of that.
+	mu      sync.Mutex
+	ledger  *quota.Ledger
+	credits map[quota.Subject]*quota.LocalCredit
+	// targets are those that advertise a limit, or did recently; shared is what gateways
+	// exchange of these limits.
 	targets map[catalog.Life]*target
-	board   *quota.SharedLimits
+	shared  *quota.SharedLimits
 	notify  func()
-	// links are those to the other homes, by their ids in messages; homes are all of them
-	// that answer.
+	// links are those to the other homes, by gateway ID. homes are all homes that reply,
+	// including this gateway if it is one.
 	links map[uint32]*link
 	homes []uint32
-	// needed has the homes looked for at once.
-	needed chan struct{}
-	// left is when the latest home last answered to which this gateway does not turn any more.
-	left time.Time
-	// size is about how many gateways there were at sizedAt: to guess it takes a look through
-	// all that are known, too much for each question.
-	size    int
-	sizedAt time.Time
-	// shareUntil is until when gateways share limits that targets name.
-	shareUntil time.Time
-	// isHome says that this gateway may be the home of a subject, and linked that links to the
-	// homes were made.
+	// refreshNow triggers an immediate refresh of the homes.
+	refreshNow chan struct{}
+	// detachedAt is when a home that is no longer used last replied, the latest one of these.
+	detachedAt time.Time
+	// fleetSize is the approximate number of gateways at fleetSizeAt. It is cached because an
+	// estimate iterates over all known gateways, too much for each call to a home.
+	fleetSize   int
+	fleetSizeAt time.Time
+	// sharingUntil is when gateways stop exchanging advertised limits.
+	sharingUntil time.Time
+	// isHome is set if this gateway may be the home of a subject, linked once links to the
+	// homes were opened.
 	isHome, linked bool
-	// ranked are the gateways that rank first, as they were known at a moment.
+	// ranked are the gateways that ranked first at rankedAt.
 	ranked   []peers.Sighting
 	rankedAt time.Time
-	// namedAt is when homes last named gateways that rank first, by the ids of these.
-	namedAt map[uint32]time.Time
+	// sightedAt is when homes last reported a gateway as one that ranks first, by gateway ID.
+	sightedAt map[uint32]time.Time
 }
 
-// New makes a register that knows no home.
-func New(o Options) *Register {
-	if o.Clock == nil {
-		o.Clock = time.Now
+// New returns a limiter that knows no home yet.
+func New(options Options) *Limiter {
+	if options.Clock == nil {
+		options.Clock = time.Now
 	}
-	if o.Draw == nil {
-		o.Draw = rand.Uint64
+	if options.Draw == nil {
+		options.Draw = rand.Uint64
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Ranked == nil {
-		o.Ranked, o.Sighted = func(int) []peers.Sighting { return nil }, func([]peers.Sighting) {}
+	if options.Ranked == nil {
+		options.Ranked, options.MergeSightings = func(int) []peers.Sighting { return nil }, func([]peers.Sighting) {}
 	}
-	if o.Dial == nil {
-		o.Dial = (&net.Dialer{}).DialContext
+	if options.Dial == nil {
+		options.Dial = (&net.Dialer{}).DialContext
 	}
-	self := quota.ID(o.Self.ID)
-	return &Register{
-		options: o, self: self, ledger: quota.NewLedger(self, o.Clock(), o.Tolerance),
-		borrowers: map[quota.Subject]*quota.LocalCredit{}, targets: map[catalog.Life]*target{}, board: quota.NewSharedLimits(o.Draw()), notify: func() {},
-		links: map[uint32]*link{}, namedAt: map[uint32]time.Time{}, needed: make(chan struct{}, 1),
+	self := quota.ID(options.Self.ID)
+	return &Limiter{
+		options: options, self: self, ledger: quota.NewLedger(self, options.Clock(), options.Tolerance),
+		credits: map[quota.Subject]*quota.LocalCredit{}, targets: map[catalog.Life]*target{}, shared: quota.NewSharedLimits(options.Draw()), notify: func() {},
+		links: map[uint32]*link{}, sightedAt: map[uint32]time.Time{}, refreshNow: make(chan struct{}, 1),
 	}
 }
 
-// Credit is what one request was admitted by. A nil Credit is that of a request without a
+// Credit is the credit with which one request was admitted. It is nil for a request without a
 // limit.
 type Credit struct {
-	register *Register
-	subject  quota.Subject
+	limiter *Limiter
+	subject quota.Subject
 }
 
-// Return gives the credit back of a request that did not run and never will.
+// Return gives back the credit of a request that did not run and never will.
 func (c *Credit) Return() {
 	if c == nil {
 		return
 	}
-	r := c.register
+	r := c.limiter
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.borrower(c.subject).Return(r.options.Clock())
+	r.localCredit(c.subject).Return(r.options.Clock())
 }
 
-// errUnsettled says that a home does not know yet how large the fleet is.
-var errUnsettled = errors.New("the home does not know the fleet yet")
+// errFleetUnknown means that a home does not know the fleet size yet.
+var errFleetUnknown = errors.New("the quota home does not know the fleet size yet")
 
-// Admit says whether a request of a workspace, whose limit is that of a version of the
-// configuration, may go on. It asks the workspace's home unless there is credit here. A
-// refusal says when to come back: once there may be credit again.
-func (r *Register) Admit(ctx context.Context, w *workspace.Workspace, version uint64) (*Credit, *verdict.Error) {
-	if r == nil || w == nil || !w.Limit().IsSet() {
+// Admit decides whether a request of a workspace, with the limit of the given configuration
+// version, may proceed. It asks the workspace's home unless there is local credit. The error
+// for a refused request tells the client to retry when there may be credit again.
+func (l *Limiter) Admit(ctx context.Context, w *workspace.Workspace, version uint64) (*Credit, *verdict.Error) {
+	if l == nil || w == nil || !w.Limit().IsSet() {
 		return nil, nil
 	}
 	subject := quota.Subject{Workspace: w.Name()}
-	credit := &Credit{register: r, subject: subject}
-	switch r.use(subject) {
+	credit := &Credit{limiter: l, subject: subject}
+	switch l.use(subject) {
 	case quota.Admit:
 		return credit, nil
 	case quota.Refuse:
-		return nil, r.refusal(w, version)
+		return nil, l.exceededError(w, version)
 	}
-	r.need()
-	granted, err := r.ask(ctx, newAsk(w, version))
+	l.requireHomes()
+	granted, err := l.ask(ctx, newWorkspaceAsk(w, version))
 	switch {
 	case err != nil:
-		r.options.Metrics.QuotaAsked(resultFailed)
-		return nil, notKnown(err)
+		l.options.Metrics.QuotaAsked(resultFailed)
+		return nil, notReadyError(err)
 	case !granted:
-		return nil, r.refusal(w, version)
+		return nil, l.exceededError(w, version)
 	}
 	return credit, nil
 }
 
-// use asks the borrower of a subject.
-func (r *Register) use(s quota.Subject) quota.Decision {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.borrower(s).Use(r.options.Clock())
+// use consumes local credit of a subject, if there is any.
+func (l *Limiter) use(s quota.Subject) quota.Decision {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.localCredit(s).Use(l.options.Clock())
 }
 
-// borrower is that of a subject; the lock is held.
-func (r *Register) borrower(s quota.Subject) *quota.LocalCredit {
-	b := r.borrowers[s]
-	if b == nil {
-		b = &quota.LocalCredit{}
-		r.borrowers[s] = b
+// localCredit returns the credit held for a subject. The lock is held.
+func (l *Limiter) localCredit(s quota.Subject) *quota.LocalCredit {
+	credit := l.credits[s]
+	if credit == nil {
+		credit = &quota.LocalCredit{}
+		l.credits[s] = credit
 	}
-	return b
+	return credit
 }
 
-// refusal is that of a request beyond the limit of its workspace.
-func (r *Register) refusal(w *workspace.Workspace, version uint64) *verdict.Error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	b, limit := r.borrower(quota.Subject{Workspace: w.Name()}), w.Limit()
+// exceededError returns the error for a request beyond the limit of its workspace.
+func (l *Limiter) exceededError(w *workspace.Workspace, version uint64) *verdict.Error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	credit, limit := l.localCredit(quota.Subject{Workspace: w.Name()}), w.Limit()
 	detail := fmt.Sprintf("the workspace %s has used up its quota: %d thousandths of %g a second and %g at once, by version %d",
-		w.Name(), b.Permille(), limit.Rate, limit.Burst, version)
-	return verdict.New(verdict.NotRun, verdict.ReasonQuota, detail).WithRetryAfter(b.PauseLeft(r.options.Clock()))
+		w.Name(), credit.Permille(), limit.Rate, limit.Burst, version)
+	return verdict.New(verdict.NotRun, verdict.ReasonQuota, detail).WithRetryAfter(credit.PauseLeft(l.options.Clock()))
 }
 
-func notKnown(cause error) *verdict.Error {
+func notReadyError(cause error) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonNotReady, "it is not known whether the quota allows the request").
 		WithCause(cause).WithRetryAfter(notReadyRetryAfter)
 }
 
-// ask asks homes until one answers whether a request is granted. A home that does not
-// answer is passed over from then on, and one that does not know the fleet yet is asked again.
-func (r *Register) ask(ctx context.Context, a *ask) (granted bool, err error) {
-	for tries, unsettled := 0, 0; tries < maxTries && unsettled < maxUnsettled; {
-		granted, err = r.askHome(ctx, a)
+// ask asks homes until one of them replies. A home that does not reply is skipped from then on;
+// one that does not know the fleet size yet is asked again.
+func (l *Limiter) ask(ctx context.Context, a *pendingAsk) (granted bool, err error) {
+	for tries, fleetUnknown := 0, 0; tries < maxTries && fleetUnknown < maxFleetUnknown; {
+		granted, err = l.askHome(ctx, a)
 		switch {
 		case err == nil:
 			return granted, nil
 		case ctx.Err() != nil:
 			return false, ctx.Err()
-		case errors.Is(err, errUnsettled):
-			unsettled++
-			pause.For(ctx, unsettledPause)
+		case errors.Is(err, errFleetUnknown):
+			fleetUnknown++
+			pause.For(ctx, fleetUnknownPause)
 		default:
 			tries++
 		}
@@ -258,64 +261,64 @@
 	return false, err
 }
 
-// askHome asks the subject's home as it is known now.
-func (r *Register) askHome(ctx context.Context, a *ask) (granted bool, err error) {
-	if r.isUnlinked() {
-		return false, errUnsettled
+// askHome asks the current home of the subject.
+func (l *Limiter) askHome(ctx context.Context, a *pendingAsk) (granted bool, err error) {
+	if l.lacksLinks() {
+		return false, errFleetUnknown
 	}
-	r.mu.Lock()
-	home, ok := quota.Home(a.subject, r.homes)
-	l := r.links[home]
-	if !ok || home == r.self || l == nil {
-		defer r.mu.Unlock()
-		return r.askSelf(a)
+	l.mu.Lock()
+	home, ok := quota.Home(a.subject, l.homes)
+	link := l.links[home]
+	if !ok || home == l.self || link == nil {
+		defer l.mu.Unlock()
+		return l.askOwnLedger(a)
 	}
-	r.mu.Unlock()
-	return l.ask(ctx, a)
+	l.mu.Unlock()
+	return link.ask(ctx, a)
 }
 
-// isUnlinked says whether links to other homes have yet to be made. A gateway among others
-// that took itself for the home meanwhile would give out a whole limit beside theirs.
-func (r *Register) isUnlinked() bool {
-	r.mu.Lock()
-	linked := r.linked
-	r.mu.Unlock()
+// lacksLinks reports whether links to other homes are still to be opened. A gateway in a fleet
+// that regarded itself as the home meanwhile would grant a whole limit in addition to theirs.
+func (l *Limiter) lacksLinks() bool {
+	l.mu.Lock()
+	linked := l.linked
+	l.mu.Unlock()
 	if linked {
 		return false
 	}
-	return slices.ContainsFunc(r.options.Homes(homesCount), func(box member.Box) bool { return quota.ID(box.ID) != r.self })
+	return slices.ContainsFunc(l.options.Homes(homeCount), func(box member.Box) bool { return quota.ID(box.ID) != l.self })
 }
 
-// askSelf takes credit from the own ledger; the lock is held.
-func (r *Register) askSelf(a *ask) (granted bool, err error) {
-	now := r.options.Clock()
-	r.ledger.Observe(now, r.standing(now))
-	b := r.borrower(a.subject)
-	grant, ok := r.ledger.Grant(now, a.want(now, b, a.count))
+// askOwnLedger takes credit from this gateway's own ledger. The lock is held.
+func (l *Limiter) askOwnLedger(a *pendingAsk) (granted bool, err error) {
+	now := l.options.Clock()
+	l.ledger.Observe(now, l.heartbeat(now))
+	credit := l.localCredit(a.subject)
+	grant, ok := l.ledger.Grant(now, a.creditRequest(now, credit, a.count))
 	if !ok {
-		return false, errUnsettled
+		return false, errFleetUnknown
 	}
-	a.observe(r, now, grant)
-	return b.AddGrant(now, grant, a.count) == a.count, nil
+	a.applyNewerLimit(l, now, grant)
+	return credit.AddGrant(now, grant, a.count) == a.count, nil
 }
 
-// standing is what this gateway says of itself; the lock is held.
-func (r *Register) standing(now time.Time) quota.Heartbeat {
-	homes := r.homes
+// heartbeat returns what this gateway reports about itself. The lock is held.
+func (l *Limiter) heartbeat(now time.Time) quota.Heartbeat {
+	homes := l.homes
 	if len(homes) == 0 {
-		homes = []uint32{r.self}
+		homes = []uint32{l.self}
 	}
-	stands := r.stands()
+	weight := l.weight()
 	return quota.Heartbeat{
-		From: r.self, Homes: homes, Counts: stands > 0, Stands: stands, Fleet: r.ledger.Fleet(now),
-		Left: r.leftFor(now),
+		From: l.self, Homes: homes, Counts: weight > 0, Stands: weight, Fleet: l.ledger.Fleet(now),
+		Left: l.sinceDetached(now),
 	}
 }
 
-// leftFor is how long ago a home last answered to which this gateway does not turn any more;
-// 0 where that is long ago. The lock is held.
-func (r *Register) leftFor(now time.Time) time.Duration {
-	if age := now.Sub(r.left); age < quota.MemberTTL {
+// sinceDetached returns how long ago a home that is no longer used last replied; 0 if that is
+// long ago. The lock is held.
+func (l *Limiter) sinceDetached(now time.Time) time.Duration {
+	if age := now.Sub(l.detachedAt); age < quota.MemberTTL {
 		return age
 	}
 	return 0
--- a/internal/gateway/quota/size_test.go
+++ b/internal/gateway/quota/scaling_test.go
@@ -38,7 +38,7 @@
 				go f.spread(ctx)
 				n = newInNeed(f, rate, true)
 				admits := n.admits
-				n.admits = func(ctx context.Context, register *quota.Register) bool {
+				n.admits = func(ctx context.Context, register *quota.Limiter) bool {
 					n.mu.Lock()
 					asked = append(asked, time.Now())
 					n.mu.Unlock()
--- a/internal/gateway/quota/serve.go
+++ b/internal/gateway/quota/serve.go
@@ -9,30 +9,31 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// methods are what other gateways may call.
-type methods struct{ register *Register }
+// rpcService contains the methods that other gateways call.
+type rpcService struct{ limiter *Limiter }
 
-// Ask gives a gateway credit for requests of workspaces whose home this one is.
-func (m *methods) Ask(args AskArgs, reply *AskReply) error {
-	*reply = m.register.answer(args)
+// Ask grants a gateway credit for requests whose home is this gateway.
+func (s *rpcService) Ask(args AskArgs, reply *AskReply) error {
+	*reply = s.limiter.reply(args)
 	return nil
 }
 
-// Service is what other gateways call, to be served beside what discovery serves.
-func (r *Register) Service() discovery.Service {
-	return discovery.Service{Name: serviceName, Methods: &methods{register: r}}
+// Service returns the RPC service for other gateways, to be served together with that of
+// discovery.
+func (l *Limiter) Service() discovery.Service {
+	return discovery.Service{Name: serviceName, Methods: &rpcService{limiter: l}}
 }
 
-// answer takes in that a gateway is there, and gives what it asks for: nothing at all while
-// it is not known how large the fleet is.
-func (r *Register) answer(args AskArgs) AskReply {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.options.Clock()
-	r.ledger.Observe(now, args.Standing)
-	reply := AskReply{Fleet: r.ledger.Fleet(now), First: r.unknownTo(now, args.Standing)}
-	for _, want := range args.Wants {
-		grant, ok := r.ledger.Grant(now, want)
+// reply records the heartbeat in args and grants credit. It grants none while the fleet size is
+// unknown.
+func (l *Limiter) reply(args AskArgs) AskReply {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Clock()
+	l.ledger.Observe(now, args.Standing)
+	reply := AskReply{Fleet: l.ledger.Fleet(now), First: l.unknownTo(now, args.Standing)}
+	for _, request := range args.Wants {
+		grant, ok := l.ledger.Grant(now, request)
 		if !ok {
 			reply.Grants = nil
 			break
@@ -42,17 +43,17 @@
 	return reply
 }
 
-// unknownTo are those of the gateways that rank first that another one does not take for
-// homes; the lock is held. Gateways that start together know few others at first: informed by
-// whom they turn to, they agree on the homes sooner than by the exchange alone, and until they
-// do each home gives out but its part of a limit.
-func (r *Register) unknownTo(now time.Time, s quota.Heartbeat) []peers.Sighting {
+// unknownTo returns those of the gateways that rank first that the sender of a heartbeat does
+// not use as homes. Gateways that start together know few others at first. With these replies
+// they agree on the homes sooner than by discovery alone; until they do, each home grants only
+// its share of a limit. The lock is held.
+func (l *Limiter) unknownTo(now time.Time, h quota.Heartbeat) []peers.Sighting {
 	var unknown []peers.Sighting
-	for _, ranked := range r.ranked {
-		if slices.Contains(s.Homes, quota.ID(ranked.Box.ID)) {
+	for _, ranked := range l.ranked {
+		if slices.Contains(h.Homes, quota.ID(ranked.Box.ID)) {
 			continue
 		}
-		ranked.Ago += now.Sub(r.rankedAt)
+		ranked.Ago += now.Sub(l.rankedAt)
 		unknown = append(unknown, ranked)
 	}
 	return unknown
--- a/internal/gateway/quota/ways_test.go
+++ b/internal/gateway/quota/strategies_test.go
@@ -20,11 +20,11 @@
 
 // parts is another way to hold a limit, for comparison: each gateway sends the part that falls
 // to it, by how many there are, and asks nobody. depth is what a part may save up, in requests.
-func parts(n *inNeed, rate, depth float64) func(context.Context, *quota.Register) bool {
+func parts(n *inNeed, rate, depth float64) func(context.Context, *quota.Limiter) bool {
 	var mu sync.Mutex
-	all := map[*quota.Register]*part{}
+	all := map[*quota.Limiter]*part{}
 	each := rate / float64(len(n.fleet.boxes))
-	return func(_ context.Context, register *quota.Register) bool {
+	return func(_ context.Context, register *quota.Limiter) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		p := all[register]
--- a/internal/gateway/quota/targets.go
+++ b/internal/gateway/quota/targets.go
@@ -13,263 +13,271 @@
 )
 
 const (
-	// targetAskWithin bounds how long one request waits for credit for one target: another
-	// target is found sooner than a home that is away.
-	targetAskWithin = 50 * time.Millisecond
-	// noHomePause is for how long a target is passed over once its home did not answer.
+	// targetAskTimeout bounds how long one request waits for credit for one target: choosing
+	// another target is faster than waiting for a home that does not reply.
+	targetAskTimeout = 50 * time.Millisecond
+	// noHomePause is how long a target is skipped after its home did not reply.
 	noHomePause = 100 * time.Millisecond
-	// shareFor is for how long gateways go on sharing limits of targets once none is known any
-	// more: it is mostly named again soon, and homes would take those that left for lost.
-	shareFor = time.Minute
-	// loggedChange is the least change of a limit that is logged, as a share of it.
-	loggedChange = 0.2
-	// forgetTargetAfter is how long a target is remembered that nobody meets: it is gone by
-	// then, or met again by a probe that reports its limit.
-	forgetTargetAfter = 10 * time.Minute
-	// forgetLiftedAfter is the same for a target that names no limit any more, which may name
-	// one again.
-	forgetLiftedAfter = time.Minute
+	// sharingTTL is how long gateways continue to exchange limits of targets after the last one
+	// is gone. Mostly a target advertises one again soon, and homes would count gateways that
+	// stopped sending heartbeats as lost.
+	sharingTTL = time.Minute
+	// minLoggedChange is the smallest relative change of a limit that is logged.
+	minLoggedChange = 0.2
+	// targetTTL is how long a target is kept after its last use. By then it is gone, or a probe
+	// reports its limit again.
+	targetTTL = 10 * time.Minute
+	// liftedTTL is the same for a target whose limit was lifted, and which may advertise one
+	// again.
+	liftedTTL = time.Minute
 )
 
-// target is what is known of one start of a target that names a limit, or did.
+// target is the state of one incarnation of a target that advertises a limit, or did.
 type target struct {
 	life catalog.Life
-	// subject is what its limit bounds: one that starts again has advertised nothing yet.
-	subject quota.Subject
-	named   quota.KnownLimit
-	met     time.Time
-	// logged is the limit that was last logged.
-	logged float64
+	// subject includes the incarnation: a target that was restarted has not advertised anything
+	// yet.
+	subject  quota.Subject
+	known    quota.KnownLimit
+	lastUsed time.Time
+	// loggedRate is the limit that was logged last.
+	loggedRate float64
 }
 
-// logsAt says whether a limit differs so much from the one logged last that it is logged: many
-// move by a little with each answer.
-func (t *target) logsAt(rate float64) bool {
-	return rate == 0 || t.logged == 0 || math.Abs(rate-t.logged) >= loggedChange*t.logged
+// shouldLog reports whether a limit differs enough from the one logged last: many limits change
+// a little with each answer.
+func (t *target) shouldLog(rate float64) bool {
+	return rate == 0 || t.loggedRate == 0 || math.Abs(rate-t.loggedRate) >= minLoggedChange*t.loggedRate
 }
 
 func newTarget(life catalog.Life) *target {
 	return &target{life: life, subject: quota.Subject{Target: life.ID + "@" + strconv.FormatInt(life.Born, 10)}}
 }
 
-func (t *target) isForgotten(now time.Time) bool {
-	if t.named.Advertised().Rate == 0 {
-		return now.Sub(t.met) > forgetLiftedAfter
+func (t *target) isExpired(now time.Time) bool {
+	if t.known.Advertised().Rate == 0 {
+		return now.Sub(t.lastUsed) > liftedTTL
 	}
-	return now.Sub(t.met) > forgetTargetAfter
+	return now.Sub(t.lastUsed) > targetTTL
 }
 
-// NoteLimit takes in what an answer of a target says of its limit, by the values of the header that
-// names it; none say that it has no limit.
-func (r *Register) NoteLimit(life catalog.Life, via quota.Source, limit []string) {
-	if r == nil || len(limit) == 0 && r.limited.Load() == 0 {
+// ObserveLimit records the limit in an answer of a target, given the values of the header for
+// it. No values mean that the target has no limit.
+func (l *Limiter) ObserveLimit(life catalog.Life, source quota.Source, values []string) {
+	if l == nil || len(values) == 0 && l.limitedCount.Load() == 0 {
 		return
 	}
-	advertised, err := quota.ParseAdvertised(limit)
+	advertised, err := quota.ParseAdvertised(values)
 	if err != nil {
-		r.options.Log.Warn("limit of a target passed over", "target", life.ID, "value", limit, "error", err.Error())
+		l.options.Log.Warn("invalid limit header of a target ignored", "target", life.ID, "value", values, "error", err.Error())
 		return
 	}
-	if r.noteAdvertised(life, advertised, via) {
-		r.notify()
+	if l.observeAdvertised(life, advertised, source) {
+		l.notify()
 	}
 }
 
-// noteAdvertised takes in what a target advertised, and says whether other gateways should learn of it.
-func (r *Register) noteAdvertised(life catalog.Life, advertised quota.Advertised, via quota.Source) (isNew bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	t := r.targets[life]
+// observeAdvertised records what a target advertised, and reports whether other gateways should
+// receive it.
+func (l *Limiter) observeAdvertised(life catalog.Life, advertised quota.Advertised, source quota.Source) (publish bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := l.targets[life]
 	if t == nil && advertised.Rate == 0 {
 		return false
 	}
 	if t == nil {
-		t = r.addTarget(life)
+		t = l.addTarget(life)
 	}
-	r.meet(t)
-	r.takeLimit(t, t.met, advertised, via)
-	return r.board.Observe(t.met, life, t.named.Advertised())
+	l.touch(t)
+	l.applyLimit(t, t.lastUsed, advertised, source)
+	return l.shared.Observe(t.lastUsed, life, t.known.Advertised())
 }
 
-// addTarget notes that a target names a limit, or did; the lock is held.
-func (r *Register) addTarget(life catalog.Life) *target {
+// addTarget adds the state of a target that advertises a limit, or did. The lock is held.
+func (l *Limiter) addTarget(life catalog.Life) *target {
 	t := newTarget(life)
-	r.targets[life] = t
-	r.needHomes()
+	l.targets[life] = t
+	l.requireHomesLocked()
 	return t
 }
 
-// meet notes that a target is of use, so that its limit is shared for a while from now on; the
-// lock is held.
-func (r *Register) meet(t *target) {
-	t.met = r.options.Clock()
-	r.shareUntil = t.met.Add(shareFor)
+// touch records that a target is in use, which extends the exchange of its limit. The lock is
+// held.
+func (l *Limiter) touch(t *target) {
+	t.lastUsed = l.options.Clock()
+	l.sharingUntil = t.lastUsed.Add(sharingTTL)
 }
 
-// takeLimit takes in what was advertised of a target's limit at a moment; the lock is held.
-func (r *Register) takeLimit(t *target, at time.Time, advertised quota.Advertised, via quota.Source) {
-	before := t.named.Advertised()
-	if !t.named.Observe(at, advertised, via) {
+// applyLimit applies what a target advertised at a given time. The lock is held.
+func (l *Limiter) applyLimit(t *target, at time.Time, advertised quota.Advertised, source quota.Source) {
+	previous := t.known.Advertised()
+	if !t.known.Observe(at, advertised, source) {
 		return
 	}
 	switch {
-	case before.Rate == 0:
-		r.limited.Add(1)
+	case previous.Rate == 0:
+		l.limitedCount.Add(1)
 	case advertised.Rate == 0:
-		r.limited.Add(-1)
+		l.limitedCount.Add(-1)
 	}
-	if t.logsAt(advertised.Rate) {
+	if t.shouldLog(advertised.Rate) {
 		level := slog.LevelInfo
-		if via == quota.SourceGateway {
-			level = slog.LevelDebug // those that met the target log it
+		if source == quota.SourceGateway {
+			level = slog.LevelDebug // logged by the gateways that received the answer
 		}
-		r.options.Log.Log(context.Background(), level, "limit of a target", "target", t.life.ID, "rate", advertised.Rate, "before", t.logged, "by", via.String())
-		t.logged = advertised.Rate
+		l.options.Log.Log(context.Background(), level, "limit of a target", "target", t.life.ID, "rate", advertised.Rate, "before", t.loggedRate, "by", source.String())
+		t.loggedRate = advertised.Rate
 	}
-	if via == quota.SourceAnswer {
-		r.tellHome(t)
+	if source == quota.SourceAnswer {
+		l.sendLimitToHome(t)
 	}
 }
 
-// tellHome sends the home of a target another limit at once, since others may only learn of it
-// from there: it lends by the one before until then. The lock is held.
-func (r *Register) tellHome(t *target) {
-	home, ok := quota.Home(t.subject, r.homes)
+// sendLimitToHome sends a changed limit to the target's home at once: until then the home
+// grants credit by the old limit, and other gateways may learn of the new one only from there.
+// The lock is held.
+func (l *Limiter) sendLimitToHome(t *target) {
+	home, ok := quota.Home(t.subject, l.homes)
 	a := newTargetAsk(t, 0)
-	if ok && home == r.self {
-		r.askSelf(a)
+	if ok && home == l.self {
+		l.askOwnLedger(a)
 		return
 	}
-	l := r.links[home]
-	if l == nil {
+	link := l.links[home]
+	if link == nil {
 		return
 	}
-	a.answer = make(chan answer, 1)
+	a.result = make(chan askResult, 1)
 	select {
-	case l.asks <- a:
-	default: // the next question reports it
+	case link.queue <- a:
+	default: // the next call contains it
 	}
 }
 
-// LimitsFor is for how much longer gateways share limits of targets; 0 for not. Each must report
-// the homes that it is there, whether it has met such a target or not: they give out the part
-// of a limit that falls to those that turn to them.
-func (r *Register) LimitsFor() time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return max(r.shareUntil.Sub(r.options.Clock()), 0)
+// SharingLeft returns for how much longer gateways exchange limits of targets; 0 if they don't.
+// Meanwhile every gateway must send heartbeats to the homes, whether it uses such a target or
+// not: homes grant the share of a limit that belongs to the gateways that use them.
+func (l *Limiter) SharingLeft() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return max(l.sharingUntil.Sub(l.options.Clock()), 0)
 }
 
-// ObserveLimits takes in for how much longer another gateway shares limits of targets.
-func (r *Register) ObserveLimits(left time.Duration) {
+// ExtendSharing extends the exchange of limits to the time for which another gateway continues
+// it.
+func (l *Limiter) ExtendSharing(left time.Duration) {
 	if left <= 0 {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if until := r.options.Clock().Add(min(left, shareFor)); until.After(r.shareUntil) {
-		r.shareUntil = until
-		r.needHomes()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if until := l.options.Clock().Add(min(left, sharingTTL)); until.After(l.sharingUntil) {
+		l.sharingUntil = until
+		l.requireHomesLocked()
 	}
 }
 
-// limitOf finds a target that names a limit; nil if it names none. The lock is held.
-func (r *Register) limitOf(life catalog.Life) *target {
-	t := r.targets[life]
-	if t == nil || t.named.Advertised().Rate == 0 {
+// limitedTarget returns the state of a target with a limit; nil if it has none. The lock is
+// held.
+func (l *Limiter) limitedTarget(life catalog.Life) *target {
+	t := l.targets[life]
+	if t == nil || t.known.Advertised().Rate == 0 {
 		return nil
 	}
 	return t
 }
 
-// AdmitTarget says whether a request may be sent to a target: one that names a limit takes no
-// more from all gateways together. It asks the target's home unless there is credit here.
-func (r *Register) AdmitTarget(ctx context.Context, life catalog.Life) (credit *Credit, ok bool) {
-	if r == nil || r.limited.Load() == 0 {
+// AdmitTarget reports whether a request may be sent to a target; a limit that a target
+// advertises applies to all gateways together. It asks the target's home unless there is local
+// credit.
+func (l *Limiter) AdmitTarget(ctx context.Context, life catalog.Life) (credit *Credit, ok bool) {
+	if l == nil || l.limitedCount.Load() == 0 {
 		return nil, true
 	}
-	t, answer := r.useTarget(life)
+	t, decision := l.useTarget(life)
 	if t == nil {
 		return nil, true
 	}
-	switch answer {
+	switch decision {
 	case quota.Admit:
-		return &Credit{register: r, subject: t.subject}, true
+		return &Credit{limiter: l, subject: t.subject}, true
 	case quota.Refuse:
 		return nil, false
 	}
-	r.need()
-	ctx, cancel := context.WithTimeout(ctx, targetAskWithin)
+	l.requireHomes()
+	ctx, cancel := context.WithTimeout(ctx, targetAskTimeout)
 	defer cancel()
-	granted, err := r.askHome(ctx, newTargetAsk(t, 1))
+	granted, err := l.askHome(ctx, newTargetAsk(t, 1))
 	if err != nil {
-		r.noteNoHome(t, err)
+		l.pauseTarget(t, err)
 	}
 	if !granted {
 		return nil, false
 	}
-	return &Credit{register: r, subject: t.subject}, true
+	return &Credit{limiter: l, subject: t.subject}, true
 }
 
-// useTarget asks the borrower of a target; nil for one that names no limit.
-func (r *Register) useTarget(life catalog.Life) (*target, quota.Decision) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	t := r.limitOf(life)
+// useTarget consumes local credit for a target, if there is any. It returns a nil target if the
+// target has no limit.
+func (l *Limiter) useTarget(life catalog.Life) (*target, quota.Decision) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := l.limitedTarget(life)
 	if t == nil {
 		return nil, quota.Admit
 	}
-	r.meet(t)
-	return t, r.borrower(t.subject).Use(t.met)
+	l.touch(t)
+	return t, l.localCredit(t.subject).Use(t.lastUsed)
 }
 
-// noteNoHome has a target passed over for a while whose home did not answer.
-func (r *Register) noteNoHome(t *target, cause error) {
+// pauseTarget makes a target be skipped for a while after its home did not reply.
+func (l *Limiter) pauseTarget(t *target, cause error) {
 	wait := noHomePause
-	if errors.Is(cause, errUnsettled) {
-		wait = unsettledPause
+	if errors.Is(cause, errFleetUnknown) {
+		wait = fleetUnknownPause
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.borrower(t.subject).PauseUntil(r.options.Clock().Add(wait))
-	r.options.Log.Debug("no credit for a target", "target", t.life.ID, "error", cause.Error())
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.localCredit(t.subject).PauseUntil(l.options.Clock().Add(wait))
+	l.options.Log.Debug("no credit obtained for a target", "target", t.life.ID, "error", cause.Error())
 }
 
-// LimitedTargets is how many targets are known to name limits.
-func (r *Register) LimitedTargets() int64 { return r.limited.Load() }
+// LimitedTargets returns the number of targets with a known limit.
+func (l *Limiter) LimitedTargets() int64 { return l.limitedCount.Load() }
 
-// TargetRate is the limit that a target is known to name, in requests a second; 0 for none.
-func (r *Register) TargetRate(life catalog.Life) float64 {
-	if r == nil || r.limited.Load() == 0 {
+// TargetRate returns the known limit of a target in requests per second; 0 for none.
+func (l *Limiter) TargetRate(life catalog.Life) float64 {
+	if l == nil || l.limitedCount.Load() == 0 {
 		return 0
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	t := r.limitOf(life)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	t := l.limitedTarget(life)
 	if t == nil {
 		return 0
 	}
-	return t.named.Advertised().Rate
+	return t.known.Advertised().Rate
 }
 
-// Limited are the targets that name limits, and for how long each has no credit; 0 where there
-// may be some.
-func (r *Register) Limited() map[catalog.Life]time.Duration {
-	if r == nil || r.limited.Load() == 0 {
+// TargetPauses returns the targets with a limit, and how long each of them will have no credit;
+// 0 if it may have some.
+func (l *Limiter) TargetPauses() map[catalog.Life]time.Duration {
+	if l == nil || l.limitedCount.Load() == 0 {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.options.Clock()
-	limited := map[catalog.Life]time.Duration{}
-	for life, t := range r.targets {
-		if t.named.Advertised().Rate == 0 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Clock()
+	pauses := map[catalog.Life]time.Duration{}
+	for life, t := range l.targets {
+		if t.known.Advertised().Rate == 0 {
 			continue
 		}
-		limited[life] = 0
-		if b := r.borrowers[t.subject]; b != nil {
-			limited[life] = b.ExhaustedFor(now)
+		pauses[life] = 0
+		if credit := l.credits[t.subject]; credit != nil {
+			pauses[life] = credit.ExhaustedFor(now)
 		}
 	}
-	return limited
+	return pauses
 }
--- a/internal/gateway/quota/targets_test.go
+++ b/internal/gateway/quota/targets_test.go
@@ -35,7 +35,7 @@
 	fleet *fleet
 	life  catalog.Life
 	// admits says whether a gateway sends it a request.
-	admits func(ctx context.Context, register *quota.Register) bool
+	admits func(ctx context.Context, register *quota.Limiter) bool
 	// inProbes says that its answers to probes name the limit as well.
 	inProbes bool
 	first    time.Time
@@ -46,7 +46,7 @@
 	all      []time.Time
 	passed   []time.Time // requests that went elsewhere
 	// told is when each process first got an answer that names a limit.
-	advertised map[*quota.Register]time.Time
+	advertised map[*quota.Limiter]time.Time
 	// untold counts the requests of those that were not told yet.
 	untold int
 }
@@ -59,11 +59,11 @@
 
 func newInNeed(f *fleet, rate float64, inProbes bool) *inNeed {
 	life := catalog.Life{ID: "target-1", Born: 1}
-	admits := func(ctx context.Context, register *quota.Register) bool {
+	admits := func(ctx context.Context, register *quota.Limiter) bool {
 		_, ok := register.AdmitTarget(ctx, life)
 		return ok
 	}
-	n := &inNeed{fleet: f, admits: admits, life: life, inProbes: inProbes, first: time.Now(), advertised: map[*quota.Register]time.Time{}}
+	n := &inNeed{fleet: f, admits: admits, life: life, inProbes: inProbes, first: time.Now(), advertised: map[*quota.Limiter]time.Time{}}
 	n.name(rate)
 	return n
 }
@@ -88,16 +88,16 @@
 
 // offer makes one request at a gateway for which it would be the best target: it is probed,
 // and gets the request unless there is no credit for it.
-func (n *inNeed) offer(ctx context.Context, register *quota.Register) {
-	if register.Limited()[n.life] > 0 {
+func (n *inNeed) offer(ctx context.Context, register *quota.Limiter) {
+	if register.TargetPauses()[n.life] > 0 {
 		n.pass()
 		return
 	}
 	time.Sleep(n.fleet.delay())
 	if n.inProbes {
-		register.NoteLimit(n.life, corequota.SourceProbe, n.header())
+		register.ObserveLimit(n.life, corequota.SourceProbe, n.header())
 	} else {
-		register.NoteLimit(n.life, corequota.SourceProbe, nil)
+		register.ObserveLimit(n.life, corequota.SourceProbe, nil)
 	}
 	if !n.admits(ctx, register) {
 		n.pass()
@@ -108,7 +108,7 @@
 	answer := n.header()
 	time.Sleep(20 * time.Millisecond)
 	n.answered(register, answer)
-	register.NoteLimit(n.life, corequota.SourceAnswer, answer)
+	register.ObserveLimit(n.life, corequota.SourceAnswer, answer)
 }
 
 func (n *inNeed) pass() {
@@ -119,7 +119,7 @@
 
 // arrived notes a request. Where probes don't tell the limit, those of processes that were not
 // told yet are none of the rule.
-func (n *inNeed) arrived(register *quota.Register) {
+func (n *inNeed) arrived(register *quota.Limiter) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.all = append(n.all, time.Now())
@@ -131,7 +131,7 @@
 	n.arrivals = append(n.arrivals, time.Now())
 }
 
-func (n *inNeed) answered(register *quota.Register, limit []string) {
+func (n *inNeed) answered(register *quota.Limiter, limit []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if _, ok := n.advertised[register]; !ok && limit != nil {
@@ -320,11 +320,11 @@
 // and discovery asked the register for its limits while it held what the answer is read from.
 func TestTheRegisterCallsNobodyWhileItIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var register *quota.Register
+		var register *quota.Limiter
 		self := member.Box{ID: "gateway-1", Peer: "10.0.0.1:1"}
-		asks := func() { register.LimitsFor() }
+		asks := func() { register.SharingLeft() }
 		register = quota.New(quota.Options{
-			Self: self, HasLimits: func() bool { asks(); return true }, Gateways: func() int { asks(); return 1 },
+			Self: self, HasLimits: func() bool { asks(); return true }, FleetSize: func() int { asks(); return 1 },
 			Homes: func(int) []member.Box { asks(); return []member.Box{self} },
 		})
 		ctx, stop := context.WithCancel(t.Context())
@@ -333,7 +333,7 @@
 		}
 		life := catalog.Life{ID: "target-1"}
 		time.Sleep(time.Second)
-		register.NoteLimit(life, corequota.SourceProbe, []string{"3"})
+		register.ObserveLimit(life, corequota.SourceProbe, []string{"3"})
 		register.AdmitTarget(ctx, life)
 		stop()
 		synctest.Wait()
@@ -346,7 +346,7 @@
 		g := NewWithT(t)
 		self := member.Box{ID: "gateway-1", Peer: "10.0.0.1:1"}
 		register := quota.New(quota.Options{
-			Self: self, HasLimits: func() bool { return false }, Gateways: func() int { return 1 },
+			Self: self, HasLimits: func() bool { return false }, FleetSize: func() int { return 1 },
 			Homes: func(int) []member.Box { return []member.Box{self} },
 		})
 		ctx, stop := context.WithCancel(t.Context())
@@ -354,10 +354,10 @@
 			go func() { _ = duty(ctx) }()
 		}
 		life := catalog.Life{ID: "target-1"}
-		register.NoteLimit(life, corequota.SourceProbe, []string{"3"})
+		register.ObserveLimit(life, corequota.SourceProbe, []string{"3"})
 		time.Sleep(9 * time.Minute)
 		g.Expect(register.TargetRate(life)).To(Equal(3.0))
-		g.Expect(register.LimitsFor()).To(BeZero())
+		g.Expect(register.SharingLeft()).To(BeZero())
 		time.Sleep(2 * time.Minute)
 		g.Expect(register.TargetRate(life)).To(BeZero())
 		stop()
@@ -372,7 +372,7 @@
 		g := NewWithT(t)
 		self, other := member.Box{ID: "gateway-1", Peer: "10.0.0.1:1"}, member.Box{ID: "gateway-2", Peer: "10.0.0.2:1"}
 		register := quota.New(quota.Options{
-			Self: self, HasLimits: func() bool { return false }, Gateways: func() int { return 2 },
+			Self: self, HasLimits: func() bool { return false }, FleetSize: func() int { return 2 },
 			Homes: func(int) []member.Box { return []member.Box{self, other} },
 			Dial:  func(context.Context, string, string) (net.Conn, error) { return nil, errRefused },
 		})
@@ -382,7 +382,7 @@
 		}
 		life := catalog.Life{ID: "target-1"}
 		time.Sleep(time.Second)
-		register.NoteLimit(life, corequota.SourceAnswer, []string{"3"})
+		register.ObserveLimit(life, corequota.SourceAnswer, []string{"3"})
 		time.Sleep(2 * time.Minute)
 		admitted := false
 		for range 50 {
--- a/internal/gateway/quota/updates.go
+++ b/internal/gateway/quota/updates.go
@@ -8,57 +8,59 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// OnUpdate has a function called, without any lock held, once there is something that other
-// gateways should learn of. It must be set before the register is used by others.
-func (r *Register) OnUpdate(notify func()) { r.notify = notify }
+// OnUpdate sets a function that is called, without any lock held, once there is a change that
+// other gateways should receive. It must be set before the limiter is used.
+func (l *Limiter) OnUpdate(notify func()) { l.notify = notify }
 
-// Updates are what gateways exchange of the limits that targets name: each knows of
-// one before it sends the target anything, and that it is lifted though it had no credit.
-func (r *Register) Updates() discovery.Updates {
+// Updates returns the exchange of target limits between gateways. With it a gateway knows a
+// limit before it first sends the target a request, and learns that a limit was lifted even if
+// it had no credit to find out itself.
+func (l *Limiter) Updates() discovery.Updates {
 	return discovery.ChangeLog[quota.Update]{
-		Name: "limits of targets", Position: r.position, Since: r.updatesSince, Merge: r.mergeUpdates, Log: r.options.Log,
+		Name: "limits of targets", Position: l.position, Since: l.updatesSince, Merge: l.mergeUpdates, Log: l.options.Log,
 	}.Updates()
 }
 
-// position is how far the board has come.
-func (r *Register) position() changes.Position {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.board.Position()
+// position returns the position of the latest change.
+func (l *Limiter) position() changes.Position {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.shared.Position()
 }
 
-// updatesSince is what changed since a position, and how far that comes.
-func (r *Register) updatesSince(at changes.Position) ([]quota.Update, changes.Position) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.board.Since(r.options.Clock(), at)
+// updatesSince returns the changes after a position, and the position that they lead to.
+func (l *Limiter) updatesSince(at changes.Position) ([]quota.Update, changes.Position) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.shared.Since(l.options.Clock(), at)
 }
 
-// mergeUpdates takes in what another gateway reported, and says whether any of it is news here.
-func (r *Register) mergeUpdates(updates []quota.Update) (isNew bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.options.Clock()
-	fresh := r.board.Merge(now, updates)
-	for _, w := range fresh {
-		r.observe(now, w)
+// mergeUpdates merges updates from another gateway, and reports whether any of them is new
+// here.
+func (l *Limiter) mergeUpdates(updates []quota.Update) (isNew bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.options.Clock()
+	accepted := l.shared.Merge(now, updates)
+	for _, u := range accepted {
+		l.applyUpdate(now, u)
 	}
-	return len(fresh) > 0
+	return len(accepted) > 0
 }
 
-// observe takes in an update of a target's limit; the lock is held.
-func (r *Register) observe(now time.Time, w quota.Update) {
-	t := r.targets[w.Life]
-	if t == nil && w.Rate == 0 {
+// applyUpdate applies an update of a target's limit. The lock is held.
+func (l *Limiter) applyUpdate(now time.Time, u quota.Update) {
+	t := l.targets[u.Life]
+	if t == nil && u.Rate == 0 {
 		return
 	}
 	if t == nil {
-		t = r.addTarget(w.Life)
+		t = l.addTarget(u.Life)
 	}
-	r.meet(t)
-	before := t.named.Advertised().Rate
-	r.takeLimit(t, now.Add(-w.Age), quota.Advertised{Rate: w.Rate}, quota.SourceGateway)
-	if after := t.named.Advertised().Rate; before > 0 && after > before {
-		r.borrower(t.subject).ShortenPause(now, before/after)
+	l.touch(t)
+	before := t.known.Advertised().Rate
+	l.applyLimit(t, now.Add(-u.Age), quota.Advertised{Rate: u.Rate}, quota.SourceGateway)
+	if after := t.known.Advertised().Rate; before > 0 && after > before {
+		l.localCredit(t.subject).ShortenPause(now, before/after)
 	}
 }
