--- a/internal/gateway/quota/customers_test.go
+++ b/internal/gateway/quota/customers_test.go
@@ -14,66 +14,67 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-// customer is a workspace and what came of its requests.
+// customer is a workspace and the results of its requests.
 type customer struct {
 	workspace *workspace.Workspace
 	limit     corequota.Limit
-	// usual is how many requests a second it makes.
-	usual float64
+	// usualRate is its usual number of requests per second.
+	usualRate float64
 
-	mu       sync.Mutex
-	admitted []time.Time
-	refused  int
-	refusals []time.Time
-	unknown  int
-	longest  time.Duration
+	mu        sync.Mutex
+	admitted  []time.Time
+	refused   int
+	refusals  []time.Time
+	undecided int
+	slowest   time.Duration
 }
 
-func newCustomer(name string, usual float64, limit corequota.Limit) *customer {
+func newCustomer(name string, usualRate float64, limit corequota.Limit) *customer {
 	key := "key-of-" + name
 	directory := workspace.New([]workspace.Config{{Name: name, Keys: []string{key}, Limit: limit}})
 	w, _ := directory.Find(key)
-	return &customer{workspace: w, limit: limit, usual: usual}
+	return &customer{workspace: w, limit: limit, usualRate: usualRate}
 }
 
-// send has a customer make requests for a while, x times as many as usual, at boxes that
-// are up, drawn unevenly. It returns once they are made.
-func (f *fleet) send(c *customer, x float64, during time.Duration) {
-	var under sync.WaitGroup
-	until := time.Now().Add(during)
+// send makes a customer's requests for a while, at factor times the usual rate, to running
+// boxes picked unevenly. It returns once all requests have ended.
+func (f *fleet) send(c *customer, factor float64, duration time.Duration) {
+	var wg sync.WaitGroup
+	until := time.Now().Add(duration)
 	for {
-		time.Sleep(time.Duration(-math.Log(1-f.float()) / (c.usual * x) * float64(time.Second)))
+		time.Sleep(time.Duration(-math.Log(1-f.float()) / (c.usualRate * factor) * float64(time.Second)))
 		if !time.Now().Before(until) {
 			break
 		}
-		register := f.draw()
-		if register == nil {
+		limiter := f.pickLimiter()
+		if limiter == nil {
 			continue
 		}
-		under.Go(func() { c.request(f.t.Context(), register) })
+		wg.Go(func() { c.request(f.t.Context(), limiter) })
 	}
-	under.Wait()
+	wg.Wait()
 }
 
-// draw draws a register: a third of the boxes gets two thirds of the requests.
-func (f *fleet) draw() *quota.Limiter {
+// pickLimiter picks a running box at random: a third of the boxes gets two thirds of the
+// requests.
+func (f *fleet) pickLimiter() *quota.Limiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.boxes)
-	if f.draws.Float64() < 0.5 {
+	if f.rng.Float64() < 0.5 {
 		n = (n + 2) / 3
 	}
-	return f.boxes[f.draws.IntN(n)].register
+	return f.boxes[f.rng.IntN(n)].limiter
 }
 
-func (c *customer) request(ctx context.Context, register *quota.Limiter) {
+func (c *customer) request(ctx context.Context, limiter *quota.Limiter) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	asked := time.Now()
-	_, failure := register.Admit(ctx, c.workspace, 1)
+	_, failure := limiter.Admit(ctx, c.workspace, 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.longest = max(c.longest, time.Since(asked))
+	c.slowest = max(c.slowest, time.Since(asked))
 	switch {
 	case failure == nil:
 		c.admitted = append(c.admitted, time.Now())
@@ -81,29 +82,29 @@
 		c.refused++
 		c.refusals = append(c.refusals, time.Now())
 	default:
-		c.unknown++
+		c.undecided++
 	}
 }
 
-// spent is the largest part of what the bound leaves beyond the limit that any window took;
-// below 0 where all were within the limit.
-func (c *customer) spent() float64 {
+// marginUsed returns the largest share of the allowed excess over the limit that any window
+// used; below 0 if all windows were within the limit.
+func (c *customer) marginUsed() float64 {
 	slices.SortFunc(c.admitted, time.Time.Compare)
-	within := c.limit.Rate*quotaWindow.Seconds() + c.limit.Burst
-	left := quotaOvershoot*within + quotaTolerance
-	worst, first := math.Inf(-1), 0
+	allowed := c.limit.Rate*quotaWindow.Seconds() + c.limit.Burst
+	margin := quotaOvershoot*allowed + quotaTolerance
+	largest, first := math.Inf(-1), 0
 	for last, at := range c.admitted {
 		for at.Sub(c.admitted[first]) >= quotaWindow {
 			first++
 		}
-		worst = max(worst, (float64(last-first+1)-within)/left)
+		largest = max(largest, (float64(last-first+1)-allowed)/margin)
 	}
-	return worst
+	return largest
 }
 
-// refusedWithin counts the requests that were refused though the window that ended with each
-// held fewer than the limit allows.
-func (c *customer) refusedWithin() (n int) {
+// refusedBelowLimit counts the requests that were refused although the window that ended with
+// each of them contained fewer requests than the limit allows.
+func (c *customer) refusedBelowLimit() (n int) {
 	allowed := c.limit.Rate*quotaWindow.Seconds() + c.limit.Burst
 	for _, refused := range c.refusals {
 		before := 0
@@ -119,23 +120,25 @@
 	return n
 }
 
-// customers are some of very different sizes, each with a limit of 1.6 times its usual.
+// customers returns customers of very different sizes, each with a limit of 1.6 times its usual
+// rate.
 func customers(total float64) []*customer {
 	var out []*customer
-	for i, part := range []float64{0.3, 0.15, 0.1, 0.05, 0.02, 0.01, 0.005, 0.002} {
-		usual := total * part
-		rate := 1.6 * usual
-		out = append(out, newCustomer(fmt.Sprint("workspace-", i), usual, corequota.Limit{Rate: rate, Burst: rate}))
+	for i, share := range []float64{0.3, 0.15, 0.1, 0.05, 0.02, 0.01, 0.005, 0.002} {
+		usualRate := total * share
+		rate := 1.6 * usualRate
+		out = append(out, newCustomer(fmt.Sprint("workspace-", i), usualRate, corequota.Limit{Rate: rate, Burst: rate}))
 	}
 	return out
 }
 
-// sendAll has all customers make their requests, those that are hot x times as many.
-func (f *fleet) sendAll(all []*customer, hot map[int]float64, during time.Duration) {
-	var under sync.WaitGroup
+// sendAll makes the requests of all customers; overload contains the rate factors of some of
+// them.
+func (f *fleet) sendAll(all []*customer, overload map[int]float64, duration time.Duration) {
+	var wg sync.WaitGroup
 	for i, c := range all {
-		x := max(hot[i], 1)
-		under.Go(func() { f.send(c, x, during) })
+		factor := max(overload[i], 1)
+		wg.Go(func() { f.send(c, factor, duration) })
 	}
-	under.Wait()
+	wg.Wait()
 }
--- a/internal/gateway/quota/exchange_test.go
+++ b/internal/gateway/quota/exchange_test.go
@@ -8,84 +8,85 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/quota"
 )
 
-// spread has gateways tell each other, as discovery does, that there are limits of targets, and
-// what they know of them: each asks three others about once a second.
-func (f *fleet) spread(ctx context.Context) {
+// exchangePeriodically makes gateways exchange, as discovery does, that there are limits of
+// targets and what these are: each calls three others about once a second.
+func (f *fleet) exchangePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Second / time.Duration(len(f.boxes)))
-		asking, asked := f.drawSome()
-		for _, other := range asked {
-			if asking != nil {
-				asking.ExtendSharing(other.SharingLeft())
-				f.pass(other, asking)
+		caller, neighbours := f.pickExchange()
+		for _, other := range neighbours {
+			if caller != nil {
+				caller.ExtendSharing(other.SharingLeft())
+				f.exchange(other, caller)
 			}
 		}
 	}
 }
 
-// drawSome draws a box and three others that it reaches.
-func (f *fleet) drawSome() (asking *quota.Limiter, asked []*quota.Limiter) {
+// pickExchange picks a box and three others that it reaches.
+func (f *fleet) pickExchange() (caller *quota.Limiter, callees []*quota.Limiter) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	i := f.draws.IntN(len(f.boxes))
+	i := f.rng.IntN(len(f.boxes))
 	for range neighbours {
-		j := f.draws.IntN(len(f.boxes))
-		if other := f.boxes[j].register; other != nil && f.part[i] == f.part[j] {
-			asked = append(asked, other)
+		j := f.rng.IntN(len(f.boxes))
+		if other := f.boxes[j].limiter; other != nil && f.partition[i] == f.partition[j] {
+			callees = append(callees, other)
 		}
 	}
-	return f.boxes[i].register, asked
+	return f.boxes[i].limiter, callees
 }
 
-// tell passes what a box knows on to its neighbours, those that ask it and those that it asks,
-// which do the same if it is news to them.
-func (f *fleet) tell(i int, register *quota.Limiter) {
+// publish sends the limits that a box knows to its neighbours, in both directions of the calls.
+// These forward them if they were new to them.
+func (f *fleet) publish(i int, limiter *quota.Limiter) {
 	for _, j := range f.neighboursOf(i) {
 		go func() {
 			time.Sleep(f.delay())
 			if !f.reaches(i, j) {
 				return
 			}
-			if other := f.registerOf(j); other != nil && f.pass(register, other) {
-				f.tell(j, other)
+			if other := f.limiterOf(j); other != nil && f.exchange(limiter, other) {
+				f.publish(j, other)
 			}
 		}()
 	}
 }
 
-// neighboursOf lists the boxes with which one exchanges: three that it drew, and those that drew
-// it.
+// neighboursOf returns the boxes with which the given one exchanges updates: three that it
+// picked, and those that picked it.
 func (f *fleet) neighboursOf(i int) (out []int) {
 	for j := range f.boxes {
-		drawsIt := func(from, to int) bool {
-			draws := rand.New(rand.NewPCG(f.seed, uint64(from)))
+		picks := func(from, to int) bool {
+			rng := rand.New(rand.NewPCG(f.seed, uint64(from)))
 			for range neighbours {
-				if draws.IntN(len(f.boxes)) == to {
+				if rng.IntN(len(f.boxes)) == to {
 					return true
 				}
 			}
 			return false
 		}
-		if j != i && (drawsIt(i, j) || drawsIt(j, i)) {
+		if j != i && (picks(i, j) || picks(j, i)) {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-func (f *fleet) registerOf(i int) *quota.Limiter {
+func (f *fleet) limiterOf(i int) *quota.Limiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.boxes[i].register
+	return f.boxes[i].limiter
 }
 
-// pass has one gateway hear all that another knows of limits, and says whether any was news.
-func (f *fleet) pass(from, to *quota.Limiter) (isNew bool) {
+// exchange merges all limits that one gateway knows into another, and reports whether any was
+// new there.
+func (f *fleet) exchange(from, to *quota.Limiter) (accepted bool) {
 	for at := ""; ; {
 		body, next := from.Updates().Since(at)
-		isNew = to.Updates().Merge(body, "gateway") || isNew
+		accepted = to.Updates().Merge(body, "gateway") || accepted
 		if next == at {
-			return isNew
+			return accepted
 		}
 		at = next
 	}
--- a/internal/gateway/quota/fleet_test.go
+++ b/internal/gateway/quota/fleet_test.go
@@ -21,61 +21,62 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/quota"
 )
 
-// Bounds of a customer, as they are agreed: in any window of quotaWindow no more than the
-// limit allows, a share and a number of requests beyond it left to the product.
+// The agreed bounds for a workspace: in any window of quotaWindow no more requests than the
+// limit allows, plus a share of that and a constant number.
 const (
 	quotaWindow    = 5 * time.Second
 	quotaOvershoot = 0.1
 	quotaTolerance = 20.0
 )
 
-// Delays of the fleet's network, one way.
+// One-way delays of the simulated network.
 const (
 	leastDelay = 100 * time.Microsecond
 	mostDelay  = 2 * time.Millisecond
 )
 
-// fleet is many gateways of the real code, in virtual time, over a network in memory. Who
-// is there each hears late, by a lag of its own, as from its neighbours.
+// fleet runs many gateways with the production code in virtual time over an in-memory network.
+// Each gateway learns of changes in the fleet with its own delay, as it would from its
+// neighbours.
 type fleet struct {
-	t       testing.TB
-	seed    uint64
-	mu      sync.Mutex
-	draws   *rand.Rand
-	boxes   []*box
-	limits  atomic.Bool
-	changed chan struct{} // closed and renewed when ways are cut or healed
-	part    []int         // by box; boxes of different parts don't reach each other
-	history []state
-	// views are the gateways' own views; nil where each hears of all after a lag of its own.
+	t             testing.TB
+	seed          uint64
+	mu            sync.Mutex
+	rng           *rand.Rand
+	boxes         []*box
+	limits        atomic.Bool
+	repartitioned chan struct{} // closed and replaced when the partition changes
+	partition     []int         // by box; boxes with different numbers don't reach each other
+	history       []state
+	// views are the gateways' own views; nil if each learns of all others after its own delay.
 	views *views
-	// looks counts how often a box took in word of who ranks first, and looked for homes.
-	looks atomic.Int64
-	bytes int64
+	// refreshes counts how often a box merged sightings from a home and refreshed its homes.
+	refreshes atomic.Int64
+	bytesSent int64
 }
 
-// box is one gateway; its process may end and start again.
+// box is one gateway; its process may be killed and started again.
 type box struct {
-	index    int
-	box      member.Box
-	lag      time.Duration
-	register *quota.Limiter
-	server   *rpc.Server
-	stop     context.CancelFunc
-	conns    []net.Conn
+	index   int
+	box     member.Box
+	lag     time.Duration
+	limiter *quota.Limiter
+	server  *rpc.Server
+	stop    context.CancelFunc
+	conns   []net.Conn
 }
 
-// state is which boxes were there at a moment, and which reached each other.
+// state is which boxes were running at a given time, and how they were partitioned.
 type state struct {
-	at   time.Time
-	up   []bool
-	part []int
+	at        time.Time
+	up        []bool
+	partition []int
 }
 
 func newFleet(t testing.TB, seed uint64, size int) *fleet {
 	f := &fleet{
-		t: t, seed: seed, draws: rand.New(rand.NewPCG(seed, 1)),
-		changed: make(chan struct{}), part: make([]int, size),
+		t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)),
+		repartitioned: make(chan struct{}), partition: make([]int, size),
 	}
 	f.limits.Store(true)
 	for i := range size {
@@ -84,94 +85,93 @@
 	return f
 }
 
-// sent is how many bytes were written so far.
+// sent returns the number of bytes written so far.
 func (f *fleet) sent() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.bytes
+	return f.bytesSent
 }
 
 func (f *fleet) float() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.draws.Float64()
+	return f.rng.Float64()
 }
 
-// start starts the process of a box.
 func (f *fleet) start(i int) {
 	b := f.boxes[i]
 	ctx, cancel := context.WithCancel(f.t.Context())
 	lag := time.Duration(20+300*f.float()) * time.Millisecond
-	register := quota.New(quota.Options{
+	limiter := quota.New(quota.Options{
 		Self: b.box, Homes: func(n int) []member.Box { return f.homes(i, n) },
 		Ranked:         func(n int) []peers.Sighting { return f.ranked(i, n) },
-		MergeSightings: func(s []peers.Sighting) { f.sighted(i, s) },
-		FleetSize:      func() int { return f.gateways(i) },
+		MergeSightings: func(s []peers.Sighting) { f.mergeSightings(i, s) },
+		FleetSize:      func() int { return f.estimatedSize(i) },
 		HasLimits:      f.limits.Load,
 		Tolerance:      quotaTolerance,
 		Dial:           func(ctx context.Context, _, address string) (net.Conn, error) { return f.dial(ctx, i, address) },
 	})
-	register.OnUpdate(func() { go f.tell(i, register) })
+	limiter.OnUpdate(func() { go f.publish(i, limiter) })
 	server := rpc.NewServer()
-	service := register.Service()
+	service := limiter.Service()
 	if err := server.RegisterName(service.Name, service.Methods); err != nil {
 		f.t.Fatal(err)
 	}
 	f.mu.Lock()
-	b.register, b.server, b.stop, b.lag = register, server, cancel, lag
+	b.limiter, b.server, b.stop, b.lag = limiter, server, cancel, lag
 	f.mu.Unlock()
-	f.note()
+	f.recordState()
 	if f.views != nil {
 		f.views.start(ctx, i)
 	}
-	for _, duty := range register.Duties() {
+	for _, duty := range limiter.Duties() {
 		go func() { _ = duty(ctx) }()
 	}
 }
 
-// kill ends the process of a box.
+// kill kills the process of a box.
 func (f *fleet) kill(i int) {
 	f.mu.Lock()
 	b := f.boxes[i]
 	conns := b.conns
-	b.conns, b.register, b.server = nil, nil, nil
+	b.conns, b.limiter, b.server = nil, nil, nil
 	f.mu.Unlock()
 	b.stop()
 	for _, c := range conns {
 		_ = c.Close()
 	}
-	f.note()
+	f.recordState()
 }
 
-// cut parts the boxes; those of one number reach each other.
-func (f *fleet) cut(part func(i int) int) {
+// split partitions the boxes; those with the same number reach each other.
+func (f *fleet) split(partitionOf func(i int) int) {
 	f.mu.Lock()
-	parts := make([]int, len(f.boxes))
-	for i := range parts {
-		parts[i] = part(i)
+	partition := make([]int, len(f.boxes))
+	for i := range partition {
+		partition[i] = partitionOf(i)
 	}
-	f.part = parts
-	close(f.changed)
-	f.changed = make(chan struct{})
+	f.partition = partition
+	close(f.repartitioned)
+	f.repartitioned = make(chan struct{})
 	f.mu.Unlock()
-	f.note()
+	f.recordState()
 }
 
-func (f *fleet) heal() { f.cut(func(int) int { return 0 }) }
+func (f *fleet) heal() { f.split(func(int) int { return 0 }) }
 
-// note remembers how things stand, for those that hear of it late.
-func (f *fleet) note() {
+// recordState records the current state for boxes that learn of it later.
+func (f *fleet) recordState() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := state{at: time.Now(), part: f.part, up: make([]bool, len(f.boxes))}
+	s := state{at: time.Now(), partition: f.partition, up: make([]bool, len(f.boxes))}
 	for i, b := range f.boxes {
-		s.up[i] = b.register != nil
+		s.up[i] = b.limiter != nil
 	}
 	f.history = append(f.history, s)
 }
 
-// homes are the first in rank as a box has heard by now. One that has just started has
-// heard nothing.
+// homes returns the gateways that rank first, as far as a box has learned by now. A box that
+// has just started has learned nothing yet.
 func (f *fleet) homes(i, n int) []member.Box {
 	if f.views != nil {
 		return f.views.first(i, n)
@@ -179,37 +179,37 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.boxes[i]
-	observed := f.history[0]
+	known := f.history[0]
 	for _, s := range f.history {
 		if !s.at.After(time.Now().Add(-b.lag)) {
-			observed = s
+			known = s
 		}
 	}
-	var there []*box
+	var reachable []*box
 	for j, other := range f.boxes {
-		if j == i || observed.up[j] && observed.part[j] == observed.part[i] {
-			there = append(there, other)
+		if j == i || known.up[j] && known.partition[j] == known.partition[i] {
+			reachable = append(reachable, other)
 		}
 	}
-	slices.SortFunc(there, func(a, b *box) int {
+	slices.SortFunc(reachable, func(a, b *box) int {
 		return cmp.Compare(corequota.ID(a.box.ID), corequota.ID(b.box.ID))
 	})
 	var out []member.Box
-	for _, b := range there[:min(n, len(there))] {
+	for _, b := range reachable[:min(n, len(reachable))] {
 		out = append(out, b.box)
 	}
 	return out
 }
 
-// gateways is how large a box takes the fleet for.
-func (f *fleet) gateways(i int) int {
+// estimatedSize returns the fleet size that a box assumes.
+func (f *fleet) estimatedSize(i int) int {
 	if f.views != nil {
 		return f.views.size(i)
 	}
 	return len(f.boxes)
 }
 
-// ranked is what a box tells of those that rank first.
+// ranked returns the sightings that a box reports of the gateways that rank first.
 func (f *fleet) ranked(i, n int) []peers.Sighting {
 	if f.views == nil {
 		return nil
@@ -217,150 +217,150 @@
 	return f.views.ranked(i, n)
 }
 
-func (f *fleet) sighted(i int, s []peers.Sighting) {
-	f.looks.Add(1)
+func (f *fleet) mergeSightings(i int, s []peers.Sighting) {
+	f.refreshes.Add(1)
 	if f.views != nil {
-		f.views.sighted(i, s)
+		f.views.mergeSightings(i, s)
 	}
 }
 
-// find is the index of a box.
-func (f *fleet) find(id string) int {
+// index returns the index of the box with an ID.
+func (f *fleet) index(id string) int {
 	return slices.IndexFunc(f.boxes, func(b *box) bool { return b.box.ID == id })
 }
 
-// reaches says whether the process of a box is there and the way to it is open.
+// reaches reports whether a box is running and in the same partition.
 func (f *fleet) reaches(from, to int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.boxes[to].register != nil && f.part[from] == f.part[to]
+	return f.boxes[to].limiter != nil && f.partition[from] == f.partition[to]
 }
 
 var errRefused = errors.New("connection refused")
 
-// dial connects a box to another.
+// dial connects a box to another one.
 func (f *fleet) dial(ctx context.Context, from int, address string) (net.Conn, error) {
 	to := slices.IndexFunc(f.boxes, func(b *box) bool { return b.box.Peer == address })
 	time.Sleep(f.delay())
-	if !f.awaitWay(ctx.Done(), from, to) {
+	if !f.awaitPath(ctx.Done(), from, to) {
 		return nil, ctx.Err()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	target := f.boxes[to]
-	if target.server == nil {
+	server := f.boxes[to]
+	if server.server == nil {
 		return nil, errRefused
 	}
 	near, far := net.Pipe()
-	target.conns = append(target.conns, near, far)
-	go target.server.ServeConn(newWay(f, far, to, from))
-	return newWay(f, near, from, to), nil
+	server.conns = append(server.conns, near, far)
+	go server.server.ServeConn(newDelayedConn(f, far, to, from))
+	return newDelayedConn(f, near, from, to), nil
 }
 
 func (f *fleet) delay() time.Duration {
 	return leastDelay + time.Duration(f.float()*float64(mostDelay-leastDelay))
 }
 
-// awaitWay waits while the way between two boxes is cut.
-func (f *fleet) awaitWay(done <-chan struct{}, from, to int) bool {
+// awaitPath waits until two boxes are in the same partition.
+func (f *fleet) awaitPath(done <-chan struct{}, from, to int) bool {
 	for {
 		f.mu.Lock()
-		open, changed := f.part[from] == f.part[to], f.changed
+		open, repartitioned := f.partition[from] == f.partition[to], f.repartitioned
 		f.mu.Unlock()
 		if open {
 			return true
 		}
 		select {
-		case <-changed:
+		case <-repartitioned:
 		case <-done:
 			return false
 		}
 	}
 }
 
-// way is one end of a connection: bytes take their time, and wait while the way is cut, not
-// the one who writes them.
-type way struct {
+// delayedConn is one end of a connection. Bytes are delivered after a delay, and not while the
+// boxes are partitioned; writes don't block meanwhile.
+type delayedConn struct {
 	net.Conn
 	fleet    *fleet
 	from, to int
-	written  chan []byte
+	queue    chan []byte
 	once     sync.Once
 	done     chan struct{}
 }
 
-func newWay(f *fleet, conn net.Conn, from, to int) *way {
-	w := &way{Conn: conn, fleet: f, from: from, to: to, written: make(chan []byte, 64), done: make(chan struct{})}
-	go w.carry()
-	return w
+func newDelayedConn(f *fleet, conn net.Conn, from, to int) *delayedConn {
+	c := &delayedConn{Conn: conn, fleet: f, from: from, to: to, queue: make(chan []byte, 64), done: make(chan struct{})}
+	go c.forward()
+	return c
 }
 
-func (w *way) Write(b []byte) (int, error) {
-	w.fleet.mu.Lock()
-	w.fleet.bytes += int64(len(b))
-	w.fleet.mu.Unlock()
+func (c *delayedConn) Write(b []byte) (int, error) {
+	c.fleet.mu.Lock()
+	c.fleet.bytesSent += int64(len(b))
+	c.fleet.mu.Unlock()
 	select {
-	case w.written <- slices.Clone(b):
+	case c.queue <- slices.Clone(b):
 		return len(b), nil
-	case <-w.done:
+	case <-c.done:
 		return 0, net.ErrClosed
 	}
 }
 
-// carry passes on what was written.
-func (w *way) carry() {
+// forward delivers what was written.
+func (c *delayedConn) forward() {
 	for {
 		select {
-		case b := <-w.written:
-			time.Sleep(w.fleet.delay())
-			if !w.fleet.awaitWay(w.done, w.from, w.to) {
+		case b := <-c.queue:
+			time.Sleep(c.fleet.delay())
+			if !c.fleet.awaitPath(c.done, c.from, c.to) {
 				return
 			}
-			if _, err := w.Conn.Write(b); err != nil {
+			if _, err := c.Conn.Write(b); err != nil {
 				return // the other end is closed
 			}
-		case <-w.done:
+		case <-c.done:
 			return
 		}
 	}
 }
 
-func (w *way) Close() error {
-	w.once.Do(func() { close(w.done) })
-	return w.Conn.Close()
+func (c *delayedConn) Close() error {
+	c.once.Do(func() { close(c.done) })
+	return c.Conn.Close()
 }
 
-// inVirtualTime plays a fleet that has started and settled. Gateways hear of all others at
-// once, each after a lag of its own; by hand, with VIEWS=1, by their own views.
-func inVirtualTime(t *testing.T, seed uint64, size int, play func(f *fleet)) {
-	if number("VIEWS", 0) > 0 {
-		withViews(t, seed, size, play)
+// inVirtualTime runs a scenario with a fleet that has started and settled. Gateways learn of
+// all others after their own delay; with VIEWS=1, for manual runs, by their own views.
+func inVirtualTime(t *testing.T, seed uint64, size int, scenario func(f *fleet)) {
+	if numberFromEnv("VIEWS", 0) > 0 {
+		withViews(t, seed, size, scenario)
 		return
 	}
-	playFleet(t, seed, size, func(*fleet) {}, play)
+	runFleet(t, seed, size, func(*fleet) {}, scenario)
 }
 
-// withViews is inVirtualTime where gateways hear of each other by their own views.
-func withViews(t *testing.T, seed uint64, size int, play func(f *fleet)) {
-	playFleet(t, seed, size, func(f *fleet) { f.views = newViews(f) }, play)
+// withViews is inVirtualTime with gateways that learn of each other by their own views.
+func withViews(t *testing.T, seed uint64, size int, scenario func(f *fleet)) {
+	runFleet(t, seed, size, func(f *fleet) { f.views = newViews(f) }, scenario)
 }
 
-func playFleet(t *testing.T, seed uint64, size int, prepare, play func(f *fleet)) {
+func runFleet(t *testing.T, seed uint64, size int, prepare, scenario func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, seed, size)
 		prepare(f)
-		f.note()
+		f.recordState()
 		for i := range f.boxes {
 			f.start(i)
 		}
 		time.Sleep(7 * time.Second)
-		play(f)
+		scenario(f)
 		for i, b := range f.boxes {
-			if b.register != nil {
+			if b.limiter != nil {
 				f.kill(i)
 			}
 		}
-		time.Sleep(time.Second) // for what is under way
+		time.Sleep(time.Second) // for calls in progress
 		synctest.Wait()
 	})
 }
--- a/internal/gateway/quota/quota_test.go
+++ b/internal/gateway/quota/quota_test.go
@@ -11,76 +11,76 @@
 	. "github.com/onsi/gomega"
 )
 
-// number reads a number from the environment, for runs by hand.
-func number(name string, otherwise int) int {
+// numberFromEnv reads a number from the environment, for manual runs.
+func numberFromEnv(name string, fallback int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-// seeds are how many plays each case has: 200 are played by hand.
-func seeds() int { return number("SEEDS", 2) }
+// seeds is the number of runs of each case; manual runs use 200.
+func seeds() int { return numberFromEnv("SEEDS", 2) }
 
-// size is how many gateways there are: 109, 984 and 2,072 are played by hand.
-func size() int { return number("FLEET", 40) }
+// size is the number of gateways; manual runs use 109, 984 and 2,072.
+func size() int { return numberFromEnv("FLEET", 40) }
 
-// perSecond is how many requests a second all customers of a fleet make: five a gateway.
-func perSecond() float64 { return 5 * float64(size()) }
+// totalRate is the number of requests per second of all customers: five per gateway.
+func totalRate() float64 { return 5 * float64(size()) }
 
-func TestWhatIsWithinTheLimitIsAdmittedWhileAllIsCalm(t *testing.T) {
+func TestTrafficWithinLimitIsAdmitted(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			all := customers(perSecond())
+			all := customers(totalRate())
 			perGateway := 0.0
 			inVirtualTime(t, uint64(seed), size(), func(f *fleet) {
-				before, began := f.sent(), time.Now()
+				before, started := f.sent(), time.Now()
 				f.sendAll(all, nil, 10*time.Second)
-				// It ends with the first request of each that would come later.
-				perGateway = float64(f.sent()-before) / time.Since(began).Seconds() / float64(size())
+				// The load lasts until the first request of each customer after the 10 s.
+				perGateway = float64(f.sent()-before) / time.Since(started).Seconds() / float64(size())
 			})
 			asked, refused := 0, 0
 			for i, c := range all {
-				asked += len(c.admitted) + c.refused + c.unknown
-				refused += c.refusedWithin() + c.unknown
-				g.Expect(c.longest).To(BeNumerically("<", 100*time.Millisecond))
-				if c.refused+c.unknown > 0 {
-					t.Logf("workspace %d: %d refused, %d of them within the limit, %d admitted, %d not known",
-						i, c.refused, c.refusedWithin(), len(c.admitted), c.unknown)
+				asked += len(c.admitted) + c.refused + c.undecided
+				refused += c.refusedBelowLimit() + c.undecided
+				g.Expect(c.slowest).To(BeNumerically("<", 100*time.Millisecond))
+				if c.refused+c.undecided > 0 {
+					t.Logf("workspace %d: %d refused, %d of them within the limit, %d admitted, %d undecided",
+						i, c.refused, c.refusedBelowLimit(), len(c.admitted), c.undecided)
 				}
 			}
-			t.Logf("%d of %d refused, %.0f bytes a second and gateway", refused, asked, perGateway)
+			t.Logf("%d of %d refused, %.0f bytes per second and gateway", refused, asked, perGateway)
 			g.Expect(float64(refused)).To(BeNumerically("<=", float64(asked)/1000))
 			g.Expect(perGateway).To(BeNumerically("<", 1000))
 		})
 	}
 }
 
-// A limit came into a fleet that had none. Until its links to the homes were made, each gateway
-// took itself for the only one, and gave out a whole limit beside theirs.
-func TestALimitThatComesIntoARunningFleetHoldsAtOnce(t *testing.T) {
+// A limit was added to a fleet that had none. Until its links to the homes were open, each
+// gateway regarded itself as the only one, and granted a whole limit in addition to the homes.
+func TestLimitAddedToRunningFleetIsEnforced(t *testing.T) {
 	for seed := range seeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			small := customers(perSecond())[7]
+			small := customers(totalRate())[7]
 			inVirtualTime(t, uint64(seed), size(), func(f *fleet) {
 				f.limits.Store(false)
-				time.Sleep(35 * time.Second) // what was told of the fleet has lapsed by then
+				time.Sleep(35 * time.Second) // recorded fleet sizes have expired by then
 				f.limits.Store(true)
 				f.send(small, 200, 6*time.Second)
 			})
-			g.Expect(small.spent()).To(BeNumerically("<=", 0.5))
+			g.Expect(small.marginUsed()).To(BeNumerically("<=", 0.5))
 		})
 	}
 }
 
-// troubles are what may happen while a workspace asks for many times its limit.
-var troubles = map[string]func(f *fleet){
-	"none": func(*fleet) {},
-	"the homes are killed": func(f *fleet) {
+// faults are injected while a workspace sends many times its limit.
+var faults = map[string]func(f *fleet){
+	"no fault": func(*fleet) {},
+	"homes killed one after the other": func(f *fleet) {
 		for _, b := range f.homes(0, 4) {
 			for i := range f.boxes {
 				if f.boxes[i].box.ID == b.ID {
@@ -91,13 +91,13 @@
 			}
 		}
 	},
-	"a third is cut off": func(f *fleet) {
-		f.cut(func(i int) int { return min(i%3, 1) })
+	"a third partitioned off": func(f *fleet) {
+		f.split(func(i int) int { return min(i%3, 1) })
 		time.Sleep(4 * time.Second)
 		f.heal()
 	},
-	"a sixth is cut off and each alone": func(f *fleet) {
-		f.cut(func(i int) int {
+	"a sixth isolated individually": func(f *fleet) {
+		f.split(func(i int) int {
 			if i%6 == 0 {
 				return i + 1
 			}
@@ -106,15 +106,15 @@
 		time.Sleep(5 * time.Second)
 		f.heal()
 	},
-	"two cuts in a row": func(f *fleet) {
+	"two partitions in a row": func(f *fleet) {
 		for range 2 {
-			f.cut(func(i int) int { return i % 2 })
+			f.split(func(i int) int { return i % 2 })
 			time.Sleep(1500 * time.Millisecond)
 			f.heal()
 			time.Sleep(500 * time.Millisecond)
 		}
 	},
-	"most are killed at once": func(f *fleet) {
+	"most killed at once": func(f *fleet) {
 		for i := range f.boxes {
 			if i%5 > 1 {
 				f.kill(i)
@@ -127,7 +127,7 @@
 			}
 		}
 	},
-	"all are killed at once": func(f *fleet) {
+	"all killed at once": func(f *fleet) {
 		for i := range f.boxes {
 			f.kill(i)
 		}
@@ -138,27 +138,27 @@
 	},
 }
 
-// The goal is half of what the bound leaves.
-func TestNoWindowHoldsMoreThanTheBoundWhateverHappens(t *testing.T) {
-	for name, trouble := range troubles {
+// The goal is to use at most half of the allowed excess.
+func TestWorkspaceLimitIsEnforcedDuringFaults(t *testing.T) {
+	for name, fault := range faults {
 		for seed := range seeds() {
 			t.Run(fmt.Sprint(name, "/", seed), func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
-				all := customers(perSecond())
+				all := customers(totalRate())
 				inVirtualTime(t, uint64(seed), size(), func(f *fleet) {
-					var under sync.WaitGroup
-					under.Go(func() {
+					var wg sync.WaitGroup
+					wg.Go(func() {
 						f.sendAll(all, map[int]float64{0: 7.5, 2: 5, 4: 7.5, 6: 7.5, 7: 20}, 12*time.Second)
 					})
 					time.Sleep(time.Duration(2+2*f.float()) * time.Second)
-					trouble(f)
-					under.Wait()
+					fault(f)
+					wg.Wait()
 				})
 				for i, c := range all {
-					t.Logf("%s, seed %d, workspace %d: %.2f of what is left, %d admitted, %d refused, %d not known, longest %v",
-						name, seed, i, c.spent(), len(c.admitted), c.refused, c.unknown, c.longest)
-					g.Expect(c.spent()).To(BeNumerically("<=", 0.5), "workspace %d", i)
+					t.Logf("%s, seed %d, workspace %d: %.2f of the margin used, %d admitted, %d refused, %d undecided, slowest %v",
+						name, seed, i, c.marginUsed(), len(c.admitted), c.refused, c.undecided, c.slowest)
+					g.Expect(c.marginUsed()).To(BeNumerically("<=", 0.5), "workspace %d", i)
 				}
 			})
 		}
--- a/internal/gateway/quota/strategies_test.go
+++ b/internal/gateway/quota/strategies_test.go
@@ -12,63 +12,65 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/quota"
 )
 
-// part is a token bucket of one gateway.
-type part struct {
+// localBucket is the token bucket of one gateway.
+type localBucket struct {
 	level float64
 	at    time.Time
 }
 
-// parts is another way to hold a limit, for comparison: each gateway sends the part that falls
-// to it, by how many there are, and asks nobody. depth is what a part may save up, in requests.
-func parts(n *inNeed, rate, depth float64) func(context.Context, *quota.Limiter) bool {
+// localBuckets enforces a limit in another way, for comparison: each gateway admits an equal
+// share of it, by the number of gateways, and asks no other. depth is the depth of each bucket,
+// in requests.
+func localBuckets(n *limitedTarget, rate, depth float64) func(context.Context, *quota.Limiter) bool {
 	var mu sync.Mutex
-	all := map[*quota.Limiter]*part{}
-	each := rate / float64(len(n.fleet.boxes))
-	return func(_ context.Context, register *quota.Limiter) bool {
+	buckets := map[*quota.Limiter]*localBucket{}
+	share := rate / float64(len(n.fleet.boxes))
+	return func(_ context.Context, limiter *quota.Limiter) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		p := all[register]
-		if p == nil {
-			p = &part{at: n.first}
-			all[register] = p
+		b := buckets[limiter]
+		if b == nil {
+			b = &localBucket{at: n.started}
+			buckets[limiter] = b
 		}
-		p.level = min(p.level+each*time.Since(p.at).Seconds(), depth)
-		p.at = time.Now()
-		if p.level < 1 {
+		b.level = min(b.level+share*time.Since(b.at).Seconds(), depth)
+		b.at = time.Now()
+		if b.level < 1 {
 			return false
 		}
-		p.level--
+		b.level--
 		return true
 	}
 }
 
-// Two ways on the same seeds, in calm: credit by a home holds the limit and uses it; parts
-// hold less or use less, and the more so the more gateways there are.
-func TestWaysToHoldALimitInCalm(t *testing.T) {
-	const calm = 40 * time.Second
+// Both strategies run with the same seeds and without faults. With credit from a home, the
+// limit is respected and used; local buckets exceed it or use less of it, the more so the more
+// gateways there are.
+func TestStrategiesForTargetLimitWithoutFaults(t *testing.T) {
+	const duration = 40 * time.Second
 	for _, rate := range []float64{1, 2.8, 8} {
-		for name, way := range map[string]func(n *inNeed){
-			"credit by a home":             func(*inNeed) {},
-			"a part for each, one saved":   func(n *inNeed) { n.admits = parts(n, rate, 1) },
-			"a part for each, three saved": func(n *inNeed) { n.admits = parts(n, rate, 3) },
+		for name, strategy := range map[string]func(n *limitedTarget){
+			"credit from a home":       func(*limitedTarget) {},
+			"local buckets of depth 1": func(n *limitedTarget) { n.admits = localBuckets(n, rate, 1) },
+			"local buckets of depth 3": func(n *limitedTarget) { n.admits = localBuckets(n, rate, 3) },
 		} {
 			t.Run(fmt.Sprintf("%s/%g", name, rate), func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
-				var n *inNeed
+				var n *limitedTarget
 				inVirtualTime(t, 1, size(), func(f *fleet) {
 					f.limits.Store(false)
 					ctx, stop := context.WithCancel(f.t.Context())
 					defer stop()
-					go f.spread(ctx)
-					n = newInNeed(f, rate, true)
-					way(n)
-					n.load(offered, calm)
+					go f.exchangePeriodically(ctx)
+					n = newLimitedTarget(f, rate, true)
+					strategy(n)
+					n.offerLoad(offeredRate, duration)
 				})
-				used := float64(n.got(n.first.Add(limitSettles), n.first.Add(calm))) / (rate * (calm - limitSettles).Seconds())
-				t.Logf("%s at %g a second: %.2f of what is left, %.2f of the limit used", name, rate, n.spent(), used)
-				if name == "credit by a home" {
-					holds(g, n, rate)
+				used := float64(n.received(n.started.Add(limitSettling), n.started.Add(duration))) / (rate * (duration - limitSettling).Seconds())
+				t.Logf("%s at %g per second: %.2f of the margin used, %.2f of the limit used", name, rate, n.marginUsed(), used)
+				if name == "credit from a home" {
+					expectWithinLimit(g, n, rate)
 					g.Expect(used).To(BeNumerically(">=", 0.9))
 				}
 			})
--- a/internal/gateway/quota/views_test.go
+++ b/internal/gateway/quota/views_test.go
@@ -10,49 +10,49 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// How gateways hear of each other, as in internal/gateway/discovery: each has so many
-// neighbours, swaps members with a new one at once and then every swapEvery, and begins with
-// one of so many seeds.
+// How gateways discover each other, as in internal/gateway/discovery: each has a number of
+// neighbours, exchanges members with a new one at once and then every exchangeEvery, and starts
+// with one of several seeds.
 const (
-	neighbours = 3
-	swapEvery  = 1500 * time.Millisecond
-	seedBoxes  = 3
+	neighbours    = 3
+	exchangeEvery = 1500 * time.Millisecond
+	seedBoxes     = 3
 )
 
 // views are the gateways' own views of the fleet (core/gateway/peers), for fleets whose
-// gateways hear of each other by word from one to the next: a few at a time, and late.
+// gateways discover each other gradually: a few at a time and with delay.
 type views struct {
 	fleet *fleet
 	mu    sync.Mutex
 	all   []*peers.View
-	draws *rand.Rand
+	rng   *rand.Rand
 }
 
 func newViews(f *fleet) *views {
-	return &views{fleet: f, all: make([]*peers.View, len(f.boxes)), draws: rand.New(rand.NewPCG(f.seed, 2))}
+	return &views{fleet: f, all: make([]*peers.View, len(f.boxes)), rng: rand.New(rand.NewPCG(f.seed, 2))}
 }
 
-func (v *views) intn(n int) int { return v.draws.IntN(n) }
+func (v *views) intn(n int) int { return v.rng.IntN(n) }
 
-// start gives the box of a process that has just begun an empty view, and fills it until
-// the process ends.
+// start gives the box of a process that has just started an empty view, and fills it until the
+// process ends.
 func (v *views) start(ctx context.Context, i int) {
 	v.mu.Lock()
 	v.all[i] = peers.New(v.fleet.boxes[i].box, v.intn)
 	v.mu.Unlock()
 	for range neighbours {
-		go v.follow(ctx, i)
+		go v.exchangePeriodically(ctx, i)
 	}
 }
 
-// follow exchanges with one neighbour after the other.
-func (v *views) follow(ctx context.Context, i int) {
+// exchangePeriodically exchanges views with one neighbour after the other.
+func (v *views) exchangePeriodically(ctx context.Context, i int) {
 	for ctx.Err() == nil {
-		peer, isSeed := v.draw(i)
-		v.swap(i, peer)
-		wait := swapEvery
+		peer, isSeed := v.nextNeighbour(i)
+		v.exchange(i, peer)
+		wait := exchangeEvery
 		if isSeed {
-			wait = 10 * time.Millisecond // whom it named is asked at once
+			wait = 10 * time.Millisecond // the gateways that a seed reported are called at once
 		}
 		select {
 		case <-ctx.Done():
@@ -61,8 +61,8 @@
 	}
 }
 
-// draw names the next neighbour of a box: a seed while none is known.
-func (v *views) draw(i int) (peer member.Box, isSeed bool) {
+// nextNeighbour returns the next neighbour of a box: a seed while none is known.
+func (v *views) nextNeighbour(i int) (peer member.Box, isSeed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	peer, ok := v.all[i].Neighbour(time.Now(), peers.OwnHall, func(string) bool { return false })
@@ -72,10 +72,11 @@
 	return peer, false
 }
 
-// swap has two gateways tell each other whom they have heard of, if they reach each other.
-func (v *views) swap(i int, peer member.Box) {
+// exchange makes two gateways exchange the gateways that they have seen, if they reach each
+// other.
+func (v *views) exchange(i int, peer member.Box) {
 	time.Sleep(v.fleet.delay())
-	j := v.fleet.find(peer.ID)
+	j := v.fleet.index(peer.ID)
 	reached := i != j && v.fleet.reaches(i, j)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -84,12 +85,12 @@
 		v.all[i].Fail(now, peer.ID)
 		return
 	}
-	asks, asked := v.all[i], v.all[j]
-	mine, theirs := asks.Sightings(now, ""), asked.Sightings(now, "")
-	asked.Called(now, mine[0].Box)
-	asked.Sighted(now, mine[1:])
-	asks.Observe(now, theirs[0].Box)
-	asks.Sighted(now, theirs[1:])
+	caller, callee := v.all[i], v.all[j]
+	sent, received := caller.Sightings(now, ""), callee.Sightings(now, "")
+	callee.Called(now, sent[0].Box)
+	callee.Sighted(now, sent[1:])
+	caller.Observe(now, received[0].Box)
+	caller.Sighted(now, received[1:])
 }
 
 func (v *views) first(i, n int) []member.Box {
@@ -110,7 +111,7 @@
 	return v.all[i].Ranked(time.Now(), n)
 }
 
-func (v *views) sighted(i int, s []peers.Sighting) {
+func (v *views) mergeSightings(i int, s []peers.Sighting) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.all[i].Sighted(time.Now(), s)
