--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -75,7 +75,7 @@
 	forward   *forward.Handler
 	fatal     *fatal.Register   // requests that end targets
 	quota     *quota.Limiter    // requests of workspaces that have limits
-	signals   *signals.Register // what targets said of themselves
+	signals   *signals.Registry // what targets said of themselves
 	metrics   *metrics.Metrics  // nil without an address to serve them on
 	stopping  atomic.Bool
 	assembled atomic.Bool
@@ -221,7 +221,7 @@
 		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHalls(),
 		AnswerBytes: g.answers.Held(), Quarantined: g.fatal.Quarantined(), LimitedTargets: g.quota.LimitedTargets(),
 		FarServices: g.forward.FarServices(), Trips: g.forward.Trips(),
-		BackingOff: len(g.signals.All()), Leaving: g.discovery.Snapshot().Leaving(),
+		BackingOff: len(g.signals.BackOffs()), Leaving: g.discovery.Snapshot().Leaving(),
 	}
 	if table := g.discovery.Snapshot().Table(); table != nil {
 		state.ConfigVersion = table.Version()
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -251,7 +251,7 @@
 	stop     context.CancelFunc
 	fatal    *fatal.Register // nil where a test does not look at it
 	limits   *quota.Limiter  // likewise
-	signals  *signals.Register
+	signals  *signals.Registry
 	slept    atomic.Int64 // for how long its machine was suspended
 	mu       sync.Mutex
 	conns    []net.Conn
--- a/internal/gateway/discovery/signals_test.go
+++ b/internal/gateway/discovery/signals_test.go
@@ -55,8 +55,8 @@
 			g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 			time.Sleep(4500 * time.Millisecond)
 			g.Expect(slices.IndexFunc(fleet.gateways[2:], holds)).To(Equal(-1), "it lapses everywhere")
-			g.Expect(fleet.gateways[1].signals.Left(resting.Life())).To(BeNumerically(">", 0), "this one was asked itself, and for longer")
-			g.Expect(fleet.gateways[2].signals.Left(resting.Life())).To(BeZero())
+			g.Expect(fleet.gateways[1].signals.BackOffLeft(resting.Life())).To(BeNumerically(">", 0), "this one was asked itself, and for longer")
+			g.Expect(fleet.gateways[2].signals.BackOffLeft(resting.Life())).To(BeZero())
 		})
 	}
 }
@@ -91,7 +91,7 @@
 			for range 10 * seconds * targets {
 				target := catalog.Target{ID: "t" + strconv.Itoa(random.IntN(targets)), Service: "shop", Born: 1}
 				at := fleet.gateways[random.IntN(size)].signals
-				if at.Left(target.Life()) == 0 {
+				if at.BackOffLeft(target.Life()) == 0 {
 					at.Observe(target, signal.Signals{BackOff: 3 * time.Second})
 				}
 				time.Sleep(time.Second / (10 * targets))
--- a/internal/gateway/forward/backoff_test.go
+++ b/internal/gateway/forward/backoff_test.go
@@ -77,7 +77,7 @@
 	}
 	expectNoWayTo(t, start, func(_ *WithT, f *fixture, resting *standin) {
 		resting.do = asksFor(aMinute)
-		for f.options.Signals.Left(resting.Life()) == 0 {
+		for f.options.Signals.BackOffLeft(resting.Life()) == 0 {
 			f.read()
 		}
 	})
--- a/internal/gateway/forward/closed.go
+++ b/internal/gateway/forward/closed.go
@@ -21,7 +21,7 @@
 // asked for back-off, those without credit by the limits that they name, and all that name limits
 // once it was denied by enough of them.
 func (b *balancer) closed(req *request) map[catalog.Life]closure {
-	backingOff, limited := b.options.Signals.All(), b.options.Quota.TargetPauses()
+	backingOff, limited := b.options.Signals.BackOffs(), b.options.Quota.TargetPauses()
 	if len(backingOff)+len(limited) == 0 {
 		return nil
 	}
--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -66,7 +66,7 @@
 	// Current says whether what is believed was confirmed lately.
 	Current func() bool
 	// Signals are what targets said of themselves; nil for what this handler sees alone.
-	Signals *signals.Register
+	Signals *signals.Registry
 	Pool    *upstream.Pool
 	Retry   Retry
 	// Fatal knows which requests end the targets that run them; nil for what this handler
--- a/internal/gateway/forward/signals.go
+++ b/internal/gateway/forward/signals.go
@@ -9,7 +9,7 @@
 // itself; nil if it may. Connections ask it right before they write, since the target may have
 // answered another request meanwhile; who looks for a target asks it before, to look on.
 func (b *balancer) gate(life catalog.Life) *verdict.Error {
-	if left := b.options.Signals.Left(life); left > 0 {
+	if left := b.options.Signals.BackOffLeft(life); left > 0 {
 		return verdict.New(verdict.NotRun, verdict.ReasonShed, "the target asked for back-off").WithRetryAfter(left)
 	}
 	if b.options.Snapshot().IsLeaving(life) {
--- a/internal/gateway/signals/bench_test.go
+++ b/internal/gateway/signals/bench_test.go
@@ -9,22 +9,22 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/signals"
 )
 
-// What a search asks of signals: which of 120 targets are avoided, and whether the one that was
-// chosen may be sent something, where none, few and most asked for back-off, or some leave.
-func BenchmarkWhatASearchAsks(b *testing.B) {
+// A target search asks which of 120 targets to avoid, and whether the chosen one may be sent a
+// request. The cases: none, few and most targets asked for back-off, or some are leaving.
+func BenchmarkTargetSearch(b *testing.B) {
 	targets := make([]catalog.Target, 120)
 	for i := range targets {
 		targets[i] = target(i)
 	}
-	for name, c := range map[string]struct{ asking, leaving int }{
-		"none says anything": {}, "20 leave": {leaving: 20}, "3 ask": {asking: 3}, "80 ask": {asking: 80},
+	for name, c := range map[string]struct{ backingOff, leaving int }{
+		"no signals": {}, "20 leaving": {leaving: 20}, "3 back-offs": {backingOff: 3}, "80 back-offs": {backingOff: 80},
 	} {
 		b.Run(name, func(b *testing.B) {
 			r, other := signals.New(signals.Options{Self: "a"}), signals.New(signals.Options{Self: "b"})
 			for i := range c.leaving {
 				r.Observe(targets[i], signal.Signals{Leaving: true})
 			}
-			for i := range c.asking {
+			for i := range c.backingOff {
 				r.Observe(targets[i], signal.Signals{BackOff: time.Minute})
 				other.Observe(targets[i], signal.Signals{BackOff: time.Minute})
 			}
@@ -38,8 +38,8 @@
 			}
 			for b.Loop() {
 				r.Avoided(targets)
-				r.All()
-				r.Left(targets[len(targets)-1].Life())
+				r.BackOffs()
+				r.BackOffLeft(targets[len(targets)-1].Life())
 			}
 		})
 	}
--- a/internal/gateway/signals/signals.go
+++ b/internal/gateway/signals/signals.go
@@ -1,19 +1,21 @@
-// Package signals guards what targets said of themselves in answers to this gateway, and what other
-// gateways share of that: which asked for back-off, and which leave. The rules are core/backoff's
-// and core/gateway/signal's.
+// Package signals keeps the signals that targets sent in answers to this gateway, and those
+// that other gateways share: which targets asked for back-off, and which are leaving.
+// core/backoff and core/gateway/signal contain the rules.
 //
-// A back-off that a target asked of this gateway always holds. A target that asked several others is
-// avoided while there are any else: in a large fleet each gateway would find it out by a request of its
-// own. It is not passed over for good, since targets that are full for a moment may ask as well.
-// A target that leaves is drained as one whose entry says so, whichever gateway got the answer.
+// A back-off that a target asked of this gateway always applies. A target that asked several
+// others is avoided as long as there are alternatives: in a large fleet each gateway would
+// otherwise have to send it a request of its own to find out. It is not excluded altogether,
+// since targets that are full for a moment may ask as well. A target that announces that it is
+// leaving is drained like one whose store entry says so, whichever gateway received the
+// announcement.
 //
 // # Usage
 //
-//	register := signals.New(signals.Options{Self: id, Clock: clock, Log: log})
-//	register.OnLeaving(follower.Drain)
-//	register.OnUpdate(follower.Wake)
-//	register.Observe(target, signal.Signals{BackOff: 3 * time.Second})
-//	if left := register.Left(target.Life()); left > 0 {
+//	registry := signals.New(signals.Options{Self: id, Clock: clock, Log: log})
+//	registry.OnLeaving(follower.Drain)
+//	registry.OnUpdate(follower.Wake)
+//	registry.Observe(target, signal.Signals{BackOff: 3 * time.Second})
+//	if left := registry.BackOffLeft(target.Life()); left > 0 {
 //		// send nothing to the target for now
 //	}
 package signals
@@ -35,73 +37,76 @@
 )
 
 const (
-	// drainEvery is the least time between two times that targets are drained: each goes through all
-	// targets that are known, and of a release many leave one after the other.
+	// drainEvery is the minimum time between two calls that drain targets. Each call iterates
+	// over all known targets, and during a release many targets leave one after the other.
 	drainEvery = 500 * time.Millisecond
-	// tickEvery is the pause between two looks at what is to be forgotten.
+	// tickEvery is the interval at which expired entries are removed.
 	tickEvery = 10 * time.Second
 )
 
-// Options configure a Register; zero values are usable.
+// Options configures a Registry; zero values are usable.
 type Options struct {
-	// Self is the id of this gateway.
+	// Self is the ID of this gateway.
 	Self  string
 	Clock func() time.Time
-	// Draw gives numbers that no other gateway draws as well.
+	// Draw returns random numbers that no other gateway draws as well.
 	Draw func() uint64
 	Log  *slog.Logger
 }
 
-// Register holds the signals of targets. It is safe for concurrent use.
-type Register struct {
+// Registry holds the signals of targets. It is safe for concurrent use.
+type Registry struct {
 	options Options
 	notify  func()
 	drain   func(lives []catalog.Life)
-	// wake has the duty drain what is pending.
+	// wake makes drainPending drain the pending targets.
 	wake chan struct{}
-	// known is how many back-offs are remembered, so that a gateway that knows of none takes no lock.
-	known atomic.Int64
-
-	mu      sync.Mutex
-	tracker *backoff.Tracker[catalog.Life]
-	board   *signal.Board
-	// pending are targets that leave and are not drained yet, and drainedAt is when some last were.
+	// entries is the number of back-offs and shared signals; while it is 0, look-ups take no
+	// lock.
+	entries atomic.Int64
+
+	mu       sync.Mutex
+	backOffs *backoff.Tracker[catalog.Life]
+	shared   *signal.Board
+	// pending are leaving targets that are not drained yet, drainedAt is when targets were last
+	// drained.
 	pending   map[catalog.Life]struct{}
 	drainedAt time.Time
 }
 
-// New makes a register that knows of nothing.
-func New(o Options) *Register {
-	if o.Clock == nil {
-		o.Clock = time.Now
+// New returns a registry without signals.
+func New(options Options) *Registry {
+	if options.Clock == nil {
+		options.Clock = time.Now
 	}
-	if o.Draw == nil {
-		o.Draw = rand.Uint64
+	if options.Draw == nil {
+		options.Draw = rand.Uint64
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Register{
-		options: o, notify: func() {}, drain: func([]catalog.Life) {}, wake: make(chan struct{}, 1),
-		tracker: backoff.New[catalog.Life](), board: signal.NewBoard(o.Draw()), pending: map[catalog.Life]struct{}{},
+	return &Registry{
+		options: options, notify: func() {}, drain: func([]catalog.Life) {}, wake: make(chan struct{}, 1),
+		backOffs: backoff.New[catalog.Life](), shared: signal.NewBoard(options.Draw()), pending: map[catalog.Life]struct{}{},
 	}
 }
 
-// OnUpdate has a function called, without any lock held, once there is something to be shared. It
-// must be set before the register is used.
-func (r *Register) OnUpdate(notify func()) { r.notify = notify }
+// OnUpdate sets a function that is called, without any lock held, once there is an update to
+// share. It must be set before the registry is used.
+func (r *Registry) OnUpdate(notify func()) { r.notify = notify }
 
-// OnLeaving has a function called, without any lock held, with targets that say that they leave, at
-// once or with others soon. It must be set before the register is used.
-func (r *Register) OnLeaving(drain func(lives []catalog.Life)) { r.drain = drain }
+// OnLeaving sets a function that is called, without any lock held, with targets that announced
+// that they are leaving, at once or shortly after together with others. It must be set before
+// the registry is used.
+func (r *Registry) OnLeaving(drain func(lives []catalog.Life)) { r.drain = drain }
 
-// Duties are what a gateway does for signals, each until its context ends.
-func (r *Register) Duties() []func(context.Context) error {
+// Duties returns the background tasks of the registry. Each runs until its context ends.
+func (r *Registry) Duties() []func(context.Context) error {
 	return []func(context.Context) error{r.drainPending, pause.Every(tickEvery, r.tick)}
 }
 
-// drainPending is the duty of draining targets that were not drained at once.
-func (r *Register) drainPending(ctx context.Context) error {
+// drainPending drains the targets that were not drained at once.
+func (r *Registry) drainPending(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -117,8 +122,8 @@
 	}
 }
 
-// leave has a target drained: at once, unless others were a moment ago.
-func (r *Register) leave(life catalog.Life) {
+// startDraining drains a target at once, or with others if targets were drained a moment ago.
+func (r *Registry) startDraining(life catalog.Life) {
 	r.mu.Lock()
 	r.pending[life] = struct{}{}
 	r.mu.Unlock()
@@ -126,15 +131,16 @@
 		r.drain(lives)
 		return
 	}
-	r.wakeUp()
+	r.wakeDrain()
 }
 
-// takePending takes the targets that are to be drained now; none if others were within a time.
-func (r *Register) takePending(within time.Duration) []catalog.Life {
+// takePending returns and clears the pending targets; none if targets were drained less than
+// minInterval ago.
+func (r *Registry) takePending(minInterval time.Duration) []catalog.Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
-	if now.Sub(r.drainedAt) < within {
+	if now.Sub(r.drainedAt) < minInterval {
 		return nil
 	}
 	lives := slices.Collect(maps.Keys(r.pending))
@@ -143,81 +149,82 @@
 	return lives
 }
 
-func (r *Register) wakeUp() {
+func (r *Registry) wakeDrain() {
 	select {
 	case r.wake <- struct{}{}:
-	default: // it will
+	default: // already triggered
 	}
 }
 
-func (r *Register) tick(context.Context) {
+func (r *Registry) tick(context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.board.Tick(r.options.Clock())
-	r.count()
+	r.shared.Tick(r.options.Clock())
+	r.updateEntries()
 }
 
-// Observe takes in what a target said of itself in an answer.
-func (r *Register) Observe(target catalog.Target, s signal.Signals) {
+// Observe records the signals in an answer of a target.
+func (r *Registry) Observe(target catalog.Target, s signal.Signals) {
 	if s.Leaving {
-		r.leave(target.Life())
+		r.startDraining(target.Life())
 	}
-	begins, isNew := r.observe(target.Life(), s)
-	if begins {
+	started, publish := r.record(target.Life(), s)
+	if started {
 		r.options.Log.Info("target asks for back-off", "target", target.ID, "service", target.Service, "for_s", s.BackOff.Seconds())
 	}
-	if isNew && s.Leaving {
+	if publish && s.Leaving {
 		r.options.Log.Info("target says that it leaves", "target", target.ID, "service", target.Service)
 	}
-	if isNew {
+	if publish {
 		r.notify()
 	}
 }
 
-func (r *Register) observe(life catalog.Life, s signal.Signals) (begins, isNew bool) {
+func (r *Registry) record(life catalog.Life, s signal.Signals) (started, publish bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
-	begins = r.tracker.Ask(now, life, s.BackOff)
-	isNew = r.board.Note(now, signal.Update{Life: life, From: r.options.Self, BackOff: s.BackOff, Leaving: s.Leaving})
-	r.count()
-	return begins, isNew
+	started = r.backOffs.Ask(now, life, s.BackOff)
+	publish = r.shared.Note(now, signal.Update{Life: life, From: r.options.Self, BackOff: s.BackOff, Leaving: s.Leaving})
+	r.updateEntries()
+	return started, publish
 }
 
-// count notes how much is remembered; the lock is held.
-func (r *Register) count() { r.known.Store(int64(r.tracker.Len() + r.board.Len())) }
+// updateEntries updates the number of entries. The lock is held.
+func (r *Registry) updateEntries() { r.entries.Store(int64(r.backOffs.Len() + r.shared.Len())) }
 
-// Left is for how much longer a target is sent nothing since it asked this gateway for back-off.
-func (r *Register) Left(life catalog.Life) time.Duration {
-	if r.known.Load() == 0 {
+// BackOffLeft returns for how much longer a target is sent nothing because it asked this
+// gateway for back-off.
+func (r *Registry) BackOffLeft(life catalog.Life) time.Duration {
+	if r.entries.Load() == 0 {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tracker.Left(r.options.Clock(), life)
+	return r.backOffs.Left(r.options.Clock(), life)
 }
 
-// Avoided are the targets that asked several gateways for back-off, so that they are sent something only
-// where there is no other; none where they are most of some targets, which serve for each other. What it
-// returns must not be changed.
-func (r *Register) Avoided(targets []catalog.Target) map[catalog.Life]bool {
-	if r.known.Load() == 0 {
+// Avoided returns the targets that asked several gateways for back-off, and which are used only
+// if there is no other. It returns none if they are most of the given targets, which are
+// interchangeable. The result must not be modified.
+func (r *Registry) Avoided(targets []catalog.Target) map[catalog.Life]bool {
+	if r.entries.Load() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.board.Avoided(r.options.Clock(), targets)
+	return r.shared.Avoided(r.options.Clock(), targets)
 }
 
-// All are the targets that are sent nothing since they asked this gateway for back-off, and for how
-// much longer.
-func (r *Register) All() map[catalog.Life]time.Duration {
-	if r.known.Load() == 0 {
+// BackOffs returns the targets that are sent nothing because they asked this gateway for
+// back-off, and for how much longer.
+func (r *Registry) BackOffs() map[catalog.Life]time.Duration {
+	if r.entries.Load() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := r.tracker.All(r.options.Clock())
-	r.count()
-	return all
+	backOffs := r.backOffs.All(r.options.Clock())
+	r.updateEntries()
+	return backOffs
 }
--- a/internal/gateway/signals/signals_test.go
+++ b/internal/gateway/signals/signals_test.go
@@ -20,28 +20,29 @@
 	return catalog.Target{ID: fmt.Sprint("t", i), Service: "shop", Born: 1}
 }
 
-// drains are the targets that a register had drained, by call.
-type drains struct {
+// drainRecorder records the targets that a registry drained, by call.
+type drainRecorder struct {
 	mu    sync.Mutex
 	calls [][]catalog.Life
 }
 
-func (d *drains) add(lives []catalog.Life) {
+func (d *drainRecorder) add(lives []catalog.Life) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls = append(d.calls, lives)
 }
 
-func (d *drains) all() [][]catalog.Life {
+func (d *drainRecorder) all() [][]catalog.Life {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.calls)
 }
 
-// running is a register whose duties run until the test ends, and what it had drained.
-func running(t *testing.T, self string) (*signals.Register, *drains) {
+// newRunningRegistry returns a registry whose background tasks run until the test ends, and a
+// recorder of what it drains.
+func newRunningRegistry(t *testing.T, self string) (*signals.Registry, *drainRecorder) {
 	t.Helper()
-	r, drained := signals.New(signals.Options{Self: self}), &drains{}
+	r, drained := signals.New(signals.Options{Self: self}), &drainRecorder{}
 	r.OnLeaving(drained.add)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
@@ -51,12 +52,13 @@
 	return r, drained
 }
 
-// Each of hundreds of targets of a release that leave had the gateway go through all targets anew.
-func TestManyTargetsThatLeaveAreDrainedTogether(t *testing.T) {
+// Each of hundreds of targets that left during a release made the gateway iterate over all
+// targets again.
+func TestLeavingTargetsAreDrainedInBatches(t *testing.T) {
 	const targets = 600
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		r, drained := running(t, "a")
+		r, drained := newRunningRegistry(t, "a")
 		time.Sleep(time.Second)
 		for i := range targets {
 			r.Observe(target(i), signal.Signals{Leaving: true})
@@ -72,19 +74,19 @@
 				seen[life] = true
 			}
 		}
-		g.Expect(seen).To(HaveLen(targets), "also those beyond what gateways share")
-		g.Expect(len(drained.all())).To(BeNumerically("<=", 2+2*4), "twice a second")
+		g.Expect(seen).To(HaveLen(targets), "including targets beyond the bound on shared signals")
+		g.Expect(len(drained.all())).To(BeNumerically("<=", 2+2*4), "twice per second")
 	})
 }
 
-func TestWhatAnotherGatewayReportsIsDrainedAndAvoided(t *testing.T) {
+func TestUpdatesFromPeersDrainAndAvoidTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		a, _ := running(t, "a")
-		b, _ := running(t, "b")
-		c, drained := running(t, "c")
-		serving := []catalog.Target{target(1), target(2)}
-		share := func(from *signals.Register) {
+		a, _ := newRunningRegistry(t, "a")
+		b, _ := newRunningRegistry(t, "b")
+		c, drained := newRunningRegistry(t, "c")
+		targets := []catalog.Target{target(1), target(2)}
+		share := func(from *signals.Registry) {
 			body, _ := from.Updates().Since("")
 			c.Updates().Merge(body, "peer")
 			time.Sleep(time.Second)
@@ -92,20 +94,20 @@
 		a.Observe(target(1), signal.Signals{Leaving: true, BackOff: 9 * time.Second})
 		share(a)
 		g.Expect(drained.all()).To(Equal([][]catalog.Life{{target(1).Life()}}))
-		g.Expect(c.Avoided(serving)[target(1).Life()]).To(BeFalse(), "it asked one gateway")
+		g.Expect(c.Avoided(targets)[target(1).Life()]).To(BeFalse(), "it asked only one gateway")
 		b.Observe(target(1), signal.Signals{BackOff: 9 * time.Second})
 		share(b)
-		g.Expect(c.Avoided(serving)[target(1).Life()]).To(BeTrue())
-		g.Expect(c.Left(target(1).Life())).To(BeZero(), "it did not ask this one")
-		g.Expect(c.All()).To(BeEmpty())
-		g.Expect(a.Left(target(1).Life())).To(Equal(7 * time.Second))
+		g.Expect(c.Avoided(targets)[target(1).Life()]).To(BeTrue())
+		g.Expect(c.BackOffLeft(target(1).Life())).To(BeZero(), "it did not ask this gateway")
+		g.Expect(c.BackOffs()).To(BeEmpty())
+		g.Expect(a.BackOffLeft(target(1).Life())).To(Equal(7 * time.Second))
 		time.Sleep(9 * time.Second)
-		g.Expect(c.Avoided(serving)[target(1).Life()]).To(BeFalse())
-		g.Expect(a.All()).To(BeEmpty())
+		g.Expect(c.Avoided(targets)[target(1).Life()]).To(BeFalse())
+		g.Expect(a.BackOffs()).To(BeEmpty())
 	})
 }
 
-func TestWhatIsNoUpdateIsPassedOver(t *testing.T) {
+func TestInvalidUpdatesAndPositionsAreIgnored(t *testing.T) {
 	g := NewWithT(t)
 	r := signals.New(signals.Options{})
 	g.Expect(r.Updates().Merge([]byte("garbage"), "peer")).To(BeFalse())
--- a/internal/gateway/signals/updates.go
+++ b/internal/gateway/signals/updates.go
@@ -8,41 +8,42 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// shareEvery is the least time between two times that updates are passed on: where many targets ask
-// for back-off, each gateway gets some of each.
-const shareEvery = 250 * time.Millisecond
+// publishEvery is the minimum time between two updates that are forwarded: if many targets ask
+// for back-off, each gateway receives some of the answers of each.
+const publishEvery = 250 * time.Millisecond
 
-// Updates are the updates that gateways exchange of the signals of targets.
-func (r *Register) Updates() discovery.Updates {
+// Updates returns the exchange of signals between gateways.
+func (r *Registry) Updates() discovery.Updates {
 	return discovery.ChangeLog[signal.Update]{
-		Name: "signals of targets", Position: r.position, Since: r.since, Merge: r.merge, Every: shareEvery, Log: r.options.Log,
+		Name: "signals of targets", Position: r.position, Since: r.updatesSince, Merge: r.mergeUpdates, Every: publishEvery, Log: r.options.Log,
 	}.Updates()
 }
 
-// position is how far the board has come.
-func (r *Register) position() changes.Position {
+// position returns the position of the latest change.
+func (r *Registry) position() changes.Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.board.Position()
+	return r.shared.Position()
 }
 
-// since is what changed since a position, and how far that comes.
-func (r *Register) since(at changes.Position) ([]signal.Update, changes.Position) {
+// updatesSince returns the changes after a position, and the position that they lead to.
+func (r *Registry) updatesSince(at changes.Position) ([]signal.Update, changes.Position) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.board.Since(r.options.Clock(), at)
+	return r.shared.Since(r.options.Clock(), at)
 }
 
-// merge takes in updates of another gateway, and says whether any is new here.
-func (r *Register) merge(updates []signal.Update) (isNew bool) {
+// mergeUpdates merges updates from another gateway, and reports whether any of them is new
+// here.
+func (r *Registry) mergeUpdates(updates []signal.Update) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	updates = r.board.Merge(r.options.Clock(), updates)
-	r.count()
+	updates = r.shared.Merge(r.options.Clock(), updates)
+	r.updateEntries()
 	for _, u := range updates {
 		if u.Leaving {
 			r.pending[u.Life] = struct{}{}
-			r.wakeUp() // discovery holds its lock while it takes in updates
+			r.wakeDrain() // not drained here, since discovery holds its lock while it merges updates
 		}
 	}
 	return len(updates) > 0
