--- a/core/gateway/workspace/key.go
+++ b/core/gateway/workspace/key.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// blanks may stand round the parts of a header's value.
-const blanks = " \t"
+// whitespace may surround the parts of a header value.
+const whitespace = " \t"
 
-// Key reads the key out of the values of a request's Authorization header, which names a
-// scheme in any case and then the key. ok is false where there is no value or more than
-// one, another scheme, or more than one value behind it: none of them may be picked, since
-// whatever stands before this gateway may have picked another.
+// Key extracts the key from the values of a request's Authorization header: a scheme in any
+// case, followed by the key. ok is false if there is no value or more than one, if the scheme
+// is another one, or if more than one value follows it. The function never picks one of
+// several, since a proxy in front of this gateway may have picked another.
 func Key(values []string, scheme string) (key string, ok bool) {
 	if len(values) != 1 {
 		return "", false
 	}
-	given, rest, _ := strings.Cut(strings.Trim(values[0], blanks), " ")
-	key = strings.Trim(rest, blanks)
-	if !strings.EqualFold(given, scheme) || key == "" || strings.ContainsAny(key, blanks+",") {
+	givenScheme, rest, _ := strings.Cut(strings.Trim(values[0], whitespace), " ")
+	key = strings.Trim(rest, whitespace)
+	if !strings.EqualFold(givenScheme, scheme) || key == "" || strings.ContainsAny(key, whitespace+",") {
 		return "", false
 	}
 	return key, true
--- a/core/gateway/workspace/workspace.go
+++ b/core/gateway/workspace/workspace.go
@@ -1,10 +1,9 @@
-// Package workspace decides whose requests are whose: a key names the workspace of the
-// caller that shows it.
+// Package workspace maps requests to workspaces: the key in a request identifies the workspace
+// of its caller.
 //
-// It owns the reading of a key out of a request's header and the keys of one version of
-// the configuration. A Directory never changes once made. Keys are kept as digests alone:
-// neither a dump of the process nor the time that a look-up takes gives away anything of a key.
-// It does no I/O.
+// The package extracts the key from a request header, and holds the keys of one version of the
+// configuration. A Directory is immutable. Only digests of keys are kept: neither a dump of the
+// process nor the duration of a look-up reveals anything about a key. The package does no I/O.
 //
 // # Usage
 //
@@ -20,24 +19,23 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quota"
 )
 
-// usualKey is the length, in bytes, up to which a look-up of a key allocates nothing.
-const usualKey = 128
+// shortKey is the key length, in bytes, up to which a look-up does not allocate.
+const shortKey = 128
 
-// Config is one workspace as the configuration has it.
+// Config is the configuration of one workspace.
 type Config struct {
 	Name string
-	// Keys are those by which callers of the workspace are known.
+	// Keys are the keys that identify callers of the workspace.
 	Keys []string
-	// Priority goes before that of a route, 0 being the most urgent; nil leaves the
-	// route's.
+	// Priority overrides that of a route, 0 being the most urgent; nil keeps the route's.
 	Priority *int
-	// Limit bounds the requests of the workspace, all gateways together.
+	// Limit limits the requests of the workspace across all gateways.
 	Limit quota.Limit
-	// Regions are those whose targets may have its requests; nil for all.
+	// Regions are the regions whose targets may receive its requests; nil for all.
 	Regions []string
 }
 
-// Workspace is one of a Directory.
+// Workspace is a workspace in a Directory.
 type Workspace struct {
 	name     string
 	priority *int
@@ -45,23 +43,24 @@
 	regions  []string
 }
 
-// Name is what the workspace is called, in the configuration as at the targets.
+// Name returns the name of the workspace, which is the same in the configuration and at the
+// targets.
 func (w *Workspace) Name() string { return w.name }
 
-// Limit bounds its requests.
+// Limit returns the limit for its requests.
 func (w *Workspace) Limit() quota.Limit { return w.limit }
 
-// AllowsAll says whether targets of all regions may have its requests, as far as a route allows. So
-// they may those of no workspace, which is nil.
+// AllowsAll reports whether targets in all regions may receive its requests, as far as the
+// route allows. This is also true for a nil Workspace, for requests without one.
 func (w *Workspace) AllowsAll() bool { return w == nil || w.regions == nil }
 
-// Allows says whether targets of a region may have its requests. A region that is not known is none
-// of those that a workspace names.
+// Allows reports whether targets in a region may receive its requests. An unknown region is not
+// allowed if the workspace lists regions.
 func (w *Workspace) Allows(region string, known bool) bool {
 	return w.AllowsAll() || known && slices.Contains(w.regions, region)
 }
 
-// Priority is that of its requests on a route with a priority of its own.
+// Priority returns the priority of its requests, given that of the route.
 func (w *Workspace) Priority(route int) int {
 	if w.priority != nil {
 		return *w.priority
@@ -69,26 +68,26 @@
 	return route
 }
 
-// digest identifies a key.
+// digest identifies a key without revealing it.
 type digest [sha256.Size]byte
 
-// Directory holds the workspaces of one version of the configuration by their keys.
+// Directory finds the workspaces of one version of the configuration by their keys.
 type Directory struct {
 	byKey map[digest]*Workspace
-	// shared are names of workspaces that give a key which another gives as well.
-	shared  []string
-	longest int
-	limited bool
+	// conflicting are the names of workspaces that share a key with another workspace.
+	conflicting []string
+	maxKeyLen   int
+	hasLimits   bool
 }
 
-// New makes a directory. A key that two workspaces give names neither: whichever it was
-// meant for, the other's requests would be taken for its own.
+// New returns a directory of the given workspaces. A key that belongs to two workspaces
+// identifies neither: otherwise requests of one of them would be attributed to the other.
 func New(configs []Config) *Directory {
 	d := &Directory{byKey: map[digest]*Workspace{}}
 	ambiguous := map[digest]bool{}
 	for _, c := range configs {
 		w := &Workspace{name: c.Name, priority: c.Priority, limit: c.Limit, regions: c.Regions}
-		d.limited = d.limited || c.Limit.IsSet()
+		d.hasLimits = d.hasLimits || c.Limit.IsSet()
 		for _, key := range c.Keys {
 			d.add(key, w, ambiguous)
 		}
@@ -96,41 +95,41 @@
 	for key := range ambiguous {
 		delete(d.byKey, key)
 	}
-	slices.Sort(d.shared)
-	d.shared = slices.Compact(d.shared)
+	slices.Sort(d.conflicting)
+	d.conflicting = slices.Compact(d.conflicting)
 	return d
 }
 
-// add takes in a key of a workspace. An empty one names nobody.
+// add adds a key of a workspace. An empty key is ignored.
 func (d *Directory) add(key string, w *Workspace, ambiguous map[digest]bool) {
 	if key == "" {
 		return
 	}
 	id := digestOf(key)
-	if other, taken := d.byKey[id]; taken && other != w {
+	if other, exists := d.byKey[id]; exists && other != w {
 		ambiguous[id] = true
-		d.shared = append(d.shared, other.name, w.name)
+		d.conflicting = append(d.conflicting, other.name, w.name)
 	}
 	d.byKey[id] = w
-	d.longest = max(d.longest, len(key))
+	d.maxKeyLen = max(d.maxKeyLen, len(key))
 }
 
-// Find gives the workspace that a key names. A nil directory has none.
+// Find returns the workspace of a key. A nil directory has none.
 func (d *Directory) Find(key string) (*Workspace, bool) {
-	if d == nil || key == "" || len(key) > d.longest {
+	if d == nil || key == "" || len(key) > d.maxKeyLen {
 		return nil, false
 	}
 	w, ok := d.byKey[digestOf(key)]
 	return w, ok
 }
 
-// HasLimits says whether any workspace has a limit.
-func (d *Directory) HasLimits() bool { return d != nil && d.limited }
+// HasLimits reports whether any workspace has a limit.
+func (d *Directory) HasLimits() bool { return d != nil && d.hasLimits }
 
-// Shared are the names of workspaces that give a key which another gives as well, in order.
-func (d *Directory) Shared() []string { return d.shared }
+// Conflicting returns the sorted names of workspaces that share a key with another workspace.
+func (d *Directory) Conflicting() []string { return d.conflicting }
 
 func digestOf(key string) digest {
-	var room [usualKey]byte
-	return sha256.Sum256(append(room[:0], key...))
+	var buffer [shortKey]byte
+	return sha256.Sum256(append(buffer[:0], key...))
 }
--- a/core/gateway/workspace/workspace_test.go
+++ b/core/gateway/workspace/workspace_test.go
@@ -10,29 +10,29 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/workspace"
 )
 
-func TestAKeyIsReadFromOneWellFormedHeaderOnly(t *testing.T) {
+func TestKeyAcceptsOnlyOneWellFormedHeader(t *testing.T) {
 	long := strings.Repeat("k", 8<<10)
 	for name, c := range map[string]struct {
 		values []string
 		key    string
 		ok     bool
 	}{
-		"usual":                       {[]string{"Token k-1"}, "k-1", true},
-		"odd case":                    {[]string{"tOKEN k-1"}, "k-1", true},
-		"blanks round it":             {[]string{" Token \t k-1 \t"}, "k-1", true},
-		"8 kB":                        {[]string{"Token " + long}, long, true},
-		"no header":                   {nil, "", false},
-		"empty":                       {[]string{""}, "", false},
-		"no key":                      {[]string{"Token"}, "", false},
-		"blanks for a key":            {[]string{"Token   "}, "", false},
-		"another scheme":              {[]string{"Bearer k-1"}, "", false},
-		"no scheme":                   {[]string{"k-1"}, "", false},
-		"scheme and key in one word":  {[]string{"Tokenk-1"}, "", false},
-		"two headers":                 {[]string{"Token k-1", "Token k-2"}, "", false},
-		"two headers alike":           {[]string{"Token k-1", "Token k-1"}, "", false},
-		"two keys":                    {[]string{"Token k-1 k-2"}, "", false},
-		"two credentials in one line": {[]string{"Token k-1, Token k-2"}, "", false},
-		"a tab for a blank":           {[]string{"Token\tk-1"}, "", false},
+		"well-formed":                  {[]string{"Token k-1"}, "k-1", true},
+		"scheme in another case":       {[]string{"tOKEN k-1"}, "k-1", true},
+		"surrounding whitespace":       {[]string{" Token \t k-1 \t"}, "k-1", true},
+		"key of 8 kB":                  {[]string{"Token " + long}, long, true},
+		"no header":                    {nil, "", false},
+		"empty header":                 {[]string{""}, "", false},
+		"no key":                       {[]string{"Token"}, "", false},
+		"only spaces after the scheme": {[]string{"Token   "}, "", false},
+		"another scheme":               {[]string{"Bearer k-1"}, "", false},
+		"no scheme":                    {[]string{"k-1"}, "", false},
+		"no space after the scheme":    {[]string{"Tokenk-1"}, "", false},
+		"two headers":                  {[]string{"Token k-1", "Token k-2"}, "", false},
+		"two identical headers":        {[]string{"Token k-1", "Token k-1"}, "", false},
+		"two keys":                     {[]string{"Token k-1 k-2"}, "", false},
+		"two credentials in one line":  {[]string{"Token k-1, Token k-2"}, "", false},
+		"tab after the scheme":         {[]string{"Token\tk-1"}, "", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -54,16 +54,16 @@
 			t.Fatalf("%q gives the key %q, %v", value, key, ok)
 		}
 		if _, known := directory.Find(key); known && key != "k-1" {
-			t.Fatalf("%q names a workspace", key)
+			t.Fatalf("%q identifies a workspace", key)
 		}
 	})
 }
 
-func TestAKeyNamesItsWorkspaceAlone(t *testing.T) {
+func TestFindReturnsOnlyWorkspaceOfUniqueKey(t *testing.T) {
 	g := NewWithT(t)
-	first := 0
+	urgent := 0
 	directory := workspace.New([]workspace.Config{
-		{Name: "harbour", Keys: []string{"h-1", "h-2", "h-1", "shared"}, Priority: &first},
+		{Name: "harbour", Keys: []string{"h-1", "h-2", "h-1", "shared"}, Priority: &urgent},
 		{Name: "mill", Keys: []string{"m-1", "shared", ""}},
 		{Name: "without keys"},
 	})
@@ -76,7 +76,7 @@
 		_, ok := directory.Find(key)
 		g.Expect(ok).To(BeFalse(), key)
 	}
-	g.Expect(directory.Shared()).To(Equal([]string{"harbour", "mill"}))
+	g.Expect(directory.Conflicting()).To(Equal([]string{"harbour", "mill"}))
 	harbour, _ := directory.Find("h-1")
 	mill, _ := directory.Find("m-1")
 	g.Expect(harbour.Priority(2)).To(Equal(0))
@@ -85,8 +85,8 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// keysOf is many workspaces with many keys each.
-func keysOf(workspaces, keys int) []workspace.Config {
+// generateConfigs returns the configurations of many workspaces with many keys each.
+func generateConfigs(workspaces, keys int) []workspace.Config {
 	out := make([]workspace.Config, workspaces)
 	for i := range out {
 		out[i].Name = fmt.Sprint("workspace-", i)
@@ -97,9 +97,9 @@
 	return out
 }
 
-// A look-up among 20,000 keys takes 0.2 us beside other load and allocates nothing.
+// A look-up among 20,000 keys takes 0.2 us under other load and allocates nothing.
 func BenchmarkFind(b *testing.B) {
-	directory := workspace.New(keysOf(200, 100))
+	directory := workspace.New(generateConfigs(200, 100))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := directory.Find("key-00000123-00000045"); !ok {
@@ -108,32 +108,32 @@
 	}
 }
 
-func TestALookUpAllocatesNothing(t *testing.T) {
-	directory := workspace.New(keysOf(200, 100))
+func TestFindDoesNotAllocate(t *testing.T) {
+	directory := workspace.New(generateConfigs(200, 100))
 	NewWithT(t).Expect(testing.AllocsPerRun(100, func() { directory.Find("key-00000123-00000045") })).To(BeZero())
 }
 
-// The keys of a version with 20,000 are taken in within 14 ms beside other load, in 3.2 MB.
+// A directory of 20,000 keys is built within 14 ms under other load, in 3.2 MB.
 func BenchmarkNew(b *testing.B) {
-	configs := keysOf(200, 100)
+	configs := generateConfigs(200, 100)
 	b.ReportAllocs()
 	for b.Loop() {
 		workspace.New(configs)
 	}
 }
 
-func TestATallyNamesTheBusiestAndSumsTheOthers(t *testing.T) {
+func TestBusiestListsLargestAndSumsOthers(t *testing.T) {
 	g := NewWithT(t)
-	tally := workspace.NewTally()
+	counter := workspace.NewCounter()
 	for i := range 12_000 {
-		tally.Add(fmt.Sprint("workspace-", i), workspace.Served)
+		counter.Add(fmt.Sprint("workspace-", i), workspace.Served)
 	}
 	for range 5 {
-		tally.Add("workspace-7", workspace.OverQuota)
-		tally.Add("workspace-8", workspace.Served)
+		counter.Add("workspace-7", workspace.OverQuota)
+		counter.Add("workspace-8", workspace.Served)
 	}
-	tally.Add("workspace-8", workspace.Failed)
-	counts := tally.Busiest(2)
+	counter.Add("workspace-8", workspace.Failed)
+	counts := counter.Busiest(2)
 	g.Expect(counts).To(HaveLen(3))
 	g.Expect(counts[0].Workspace).To(Equal("workspace-8"))
 	g.Expect(counts[0].Ended(workspace.Served)).To(Equal(uint64(6)))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -196,8 +196,8 @@
 	if len(unknown) > 0 {
 		g.log.Warn("configuration names unknown regions", "version", table.Version(), "regions", unknown)
 	}
-	if directory := table.Workspaces(); directory != nil && len(directory.Shared()) > 0 {
-		g.log.Warn("keys name nobody since several workspaces give them", "version", table.Version(), "workspaces", directory.Shared())
+	if directory := table.Workspaces(); directory != nil && len(directory.Conflicting()) > 0 {
+		g.log.Warn("keys name nobody since several workspaces give them", "version", table.Version(), "workspaces", directory.Conflicting())
 	}
 	return table, nil
 }
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -46,7 +46,7 @@
 	// rolloutWrites and rolloutReports are those of rollout.go.
 	rolloutWrites  metric.Int64Counter
 	rolloutReports metric.Int64Counter
-	workspaces     *workspace.Tally
+	workspaces     *workspace.Counter
 }
 
 // State is what a gateway shows of itself when its metrics are read.
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	meter := sdkmetric.NewMeterProvider(sdkmetric.WithReader(exporter)).Meter(telemetry.Scope)
-	m := &Metrics{registry: registry, workspaces: workspace.NewTally()}
+	m := &Metrics{registry: registry, workspaces: workspace.NewCounter()}
 	if err := m.makeCounters(meter); err != nil {
 		return nil, err
 	}
--- a/internal/gateway/metrics/workspaces.go
+++ b/internal/gateway/metrics/workspaces.go
@@ -20,7 +20,7 @@
 
 // observeWorkspaces shows how requests of the busiest workspaces ended, and of all others in
 // one sum without a name.
-func observeWorkspaces(meter metric.Meter, tally *workspace.Tally) error {
+func observeWorkspaces(meter metric.Meter, tally *workspace.Counter) error {
 	requests, err := meter.Int64ObservableGauge("sprucecrank.gateway.workspace.requests",
 		metric.WithDescription("Requests since the start by workspace, the busiest and one sum for the others, and how they ended."))
 	if err != nil {
