--- a/internal/gateway/quota/fleet_test.go
+++ b/internal/gateway/quota/fleet_test.go
@@ -247,13 +247,13 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	server := f.boxes[to]
-	if server.server == nil {
+	remote := f.boxes[to]
+	if remote.server == nil {
 		return nil, errRefused
 	}
 	near, far := net.Pipe()
-	server.conns = append(server.conns, near, far)
-	go server.server.ServeConn(newDelayedConn(f, far, to, from))
+	remote.conns = append(remote.conns, near, far)
+	go remote.server.ServeConn(newDelayedConn(f, far, to, from))
 	return newDelayedConn(f, near, from, to), nil
 }
 
--- a/internal/gateway/quota/scaling_test.go
+++ b/internal/gateway/quota/scaling_test.go
@@ -29,29 +29,29 @@
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			var n *limitedTarget
+			var target *limitedTarget
 			var asked []time.Time
 			inVirtualTime(t, 1, boxes, func(f *fleet) {
 				f.limits.Store(false)
 				ctx, stop := context.WithCancel(f.t.Context())
 				defer stop()
 				go f.exchangePeriodically(ctx)
-				n = newLimitedTarget(f, rate, true)
-				admits := n.admits
-				n.admits = func(ctx context.Context, limiter *quota.Limiter) bool {
-					n.mu.Lock()
+				target = newLimitedTarget(f, rate, true)
+				admits := target.admits
+				target.admits = func(ctx context.Context, limiter *quota.Limiter) bool {
+					target.mu.Lock()
 					asked = append(asked, time.Now())
-					n.mu.Unlock()
+					target.mu.Unlock()
 					return admits(ctx, limiter)
 				}
-				n.offerLoad(ratePerBox*float64(boxes), duration)
+				target.offerLoad(ratePerBox*float64(boxes), duration)
 			})
-			askRate := float64(countWithin(asked, n.started.Add(warmUp), n.started.Add(duration))) / (duration - warmUp).Seconds()
-			used := float64(n.received(n.started.Add(warmUp), n.started.Add(duration))) / (rate * (duration - warmUp).Seconds())
-			t.Logf("%d gateways: %.1f credit requests and probes per second, %.2f of the limit used, %.2f of the margin used", boxes, askRate, used, n.marginUsed())
+			askRate := float64(countWithin(asked, target.started.Add(warmUp), target.started.Add(duration))) / (duration - warmUp).Seconds()
+			used := float64(target.received(target.started.Add(warmUp), target.started.Add(duration))) / (rate * (duration - warmUp).Seconds())
+			t.Logf("%d gateways: %.1f credit requests and probes per second, %.2f of the limit used, %.2f of the margin used", boxes, askRate, used, target.marginUsed())
 			g.Expect(askRate).To(BeNumerically("<=", 1.5*acceptedRate))
 			g.Expect(used).To(BeNumerically(">=", 0.9))
-			expectWithinLimit(g, n, rate)
+			expectWithinLimit(g, target, rate)
 		})
 	}
 }
--- a/internal/gateway/quota/strategies_test.go
+++ b/internal/gateway/quota/strategies_test.go
@@ -21,16 +21,16 @@
 // localBuckets enforces a limit in another way, for comparison: each gateway admits an equal
 // share of it, by the number of gateways, and asks no other. depth is the depth of each bucket,
 // in requests.
-func localBuckets(n *limitedTarget, rate, depth float64) func(context.Context, *quota.Limiter) bool {
+func localBuckets(target *limitedTarget, rate, depth float64) func(context.Context, *quota.Limiter) bool {
 	var mu sync.Mutex
 	buckets := map[*quota.Limiter]*localBucket{}
-	share := rate / float64(len(n.fleet.boxes))
+	share := rate / float64(len(target.fleet.boxes))
 	return func(_ context.Context, limiter *quota.Limiter) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		b := buckets[limiter]
 		if b == nil {
-			b = &localBucket{at: n.started}
+			b = &localBucket{at: target.started}
 			buckets[limiter] = b
 		}
 		b.level = min(b.level+share*time.Since(b.at).Seconds(), depth)
@@ -49,28 +49,28 @@
 func TestStrategiesForTargetLimitWithoutFaults(t *testing.T) {
 	const duration = 40 * time.Second
 	for _, rate := range []float64{1, 2.8, 8} {
-		for name, strategy := range map[string]func(n *limitedTarget){
+		for name, strategy := range map[string]func(target *limitedTarget){
 			"credit from a home":       func(*limitedTarget) {},
-			"local buckets of depth 1": func(n *limitedTarget) { n.admits = localBuckets(n, rate, 1) },
-			"local buckets of depth 3": func(n *limitedTarget) { n.admits = localBuckets(n, rate, 3) },
+			"local buckets of depth 1": func(target *limitedTarget) { target.admits = localBuckets(target, rate, 1) },
+			"local buckets of depth 3": func(target *limitedTarget) { target.admits = localBuckets(target, rate, 3) },
 		} {
 			t.Run(fmt.Sprintf("%s/%g", name, rate), func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
-				var n *limitedTarget
+				var target *limitedTarget
 				inVirtualTime(t, 1, size(), func(f *fleet) {
 					f.limits.Store(false)
 					ctx, stop := context.WithCancel(f.t.Context())
 					defer stop()
 					go f.exchangePeriodically(ctx)
-					n = newLimitedTarget(f, rate, true)
-					strategy(n)
-					n.offerLoad(offeredRate, duration)
+					target = newLimitedTarget(f, rate, true)
+					strategy(target)
+					target.offerLoad(offeredRate, duration)
 				})
-				used := float64(n.received(n.started.Add(limitSettling), n.started.Add(duration))) / (rate * (duration - limitSettling).Seconds())
-				t.Logf("%s at %g per second: %.2f of the margin used, %.2f of the limit used", name, rate, n.marginUsed(), used)
+				used := float64(target.received(target.started.Add(limitSettling), target.started.Add(duration))) / (rate * (duration - limitSettling).Seconds())
+				t.Logf("%s at %g per second: %.2f of the margin used, %.2f of the limit used", name, rate, target.marginUsed(), used)
 				if name == "credit from a home" {
-					expectWithinLimit(g, n, rate)
+					expectWithinLimit(g, target, rate)
 					g.Expect(used).To(BeNumerically(">=", 0.9))
 				}
 			})
--- a/internal/gateway/quota/targets_test.go
+++ b/internal/gateway/quota/targets_test.go
@@ -64,23 +64,23 @@
 		_, ok := limiter.AdmitTarget(ctx, life)
 		return ok
 	}
-	n := &limitedTarget{fleet: f, admits: admits, life: life, inProbes: inProbes, started: time.Now(), informedAt: map[*quota.Limiter]time.Time{}}
-	n.setLimit(rate)
-	return n
+	target := &limitedTarget{fleet: f, admits: admits, life: life, inProbes: inProbes, started: time.Now(), informedAt: map[*quota.Limiter]time.Time{}}
+	target.setLimit(rate)
+	return target
 }
 
 // setLimit makes the target advertise another limit from now on; 0 for none.
-func (n *limitedTarget) setLimit(rate float64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.limits = append(n.limits, timedLimit{at: time.Now(), rate: rate})
+func (target *limitedTarget) setLimit(rate float64) {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.limits = append(target.limits, timedLimit{at: time.Now(), rate: rate})
 }
 
 // header returns the values of the header in which it advertises its limit now.
-func (n *limitedTarget) header() []string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	rate := n.limits[len(n.limits)-1].rate
+func (target *limitedTarget) header() []string {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	rate := target.limits[len(target.limits)-1].rate
 	if rate == 0 {
 		return nil
 	}
@@ -89,68 +89,68 @@
 
 // offerRequest makes one request at a gateway for which this would be the best target: the
 // gateway probes it, and sends it the request if there is credit.
-func (n *limitedTarget) offerRequest(ctx context.Context, limiter *quota.Limiter) {
-	if limiter.TargetPauses()[n.life] > 0 {
-		n.recordSkip()
+func (target *limitedTarget) offerRequest(ctx context.Context, limiter *quota.Limiter) {
+	if limiter.TargetPauses()[target.life] > 0 {
+		target.recordSkip()
 		return
 	}
-	time.Sleep(n.fleet.delay())
-	if n.inProbes {
-		limiter.ObserveLimit(n.life, corequota.SourceProbe, n.header())
+	time.Sleep(target.fleet.delay())
+	if target.inProbes {
+		limiter.ObserveLimit(target.life, corequota.SourceProbe, target.header())
 	} else {
-		limiter.ObserveLimit(n.life, corequota.SourceProbe, nil)
+		limiter.ObserveLimit(target.life, corequota.SourceProbe, nil)
 	}
-	if !n.admits(ctx, limiter) {
-		n.recordSkip()
+	if !target.admits(ctx, limiter) {
+		target.recordSkip()
 		return
 	}
-	time.Sleep(n.fleet.delay())
-	n.recordArrival(limiter)
-	answer := n.header()
+	time.Sleep(target.fleet.delay())
+	target.recordArrival(limiter)
+	answer := target.header()
 	time.Sleep(20 * time.Millisecond)
-	n.recordAnswer(limiter, answer)
-	limiter.ObserveLimit(n.life, corequota.SourceAnswer, answer)
+	target.recordAnswer(limiter, answer)
+	limiter.ObserveLimit(target.life, corequota.SourceAnswer, answer)
 }
 
-func (n *limitedTarget) recordSkip() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.skipped = append(n.skipped, time.Now())
+func (target *limitedTarget) recordSkip() {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.skipped = append(target.skipped, time.Now())
 }
 
 // recordArrival records a request. If probes don't contain the limit, the requirement does not
 // apply to requests of processes that were not informed yet.
-func (n *limitedTarget) recordArrival(limiter *quota.Limiter) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.arrivals = append(n.arrivals, time.Now())
-	informedAt, ok := n.informedAt[limiter]
-	if !n.inProbes && (!ok || time.Since(informedAt) < limitGrace) {
-		n.uninformed++
+func (target *limitedTarget) recordArrival(limiter *quota.Limiter) {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.arrivals = append(target.arrivals, time.Now())
+	informedAt, ok := target.informedAt[limiter]
+	if !target.inProbes && (!ok || time.Since(informedAt) < limitGrace) {
+		target.uninformed++
 		return
 	}
-	n.counted = append(n.counted, time.Now())
+	target.counted = append(target.counted, time.Now())
 }
 
-func (n *limitedTarget) recordAnswer(limiter *quota.Limiter, limit []string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if _, ok := n.informedAt[limiter]; !ok && limit != nil {
-		n.informedAt[limiter] = time.Now()
+func (target *limitedTarget) recordAnswer(limiter *quota.Limiter, limit []string) {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	if _, ok := target.informedAt[limiter]; !ok && limit != nil {
+		target.informedAt[limiter] = time.Now()
 	}
 }
 
 // offerLoad makes callers offer the target that many requests per second for a while.
-func (n *limitedTarget) offerLoad(rate float64, duration time.Duration) {
+func (target *limitedTarget) offerLoad(rate float64, duration time.Duration) {
 	var wg sync.WaitGroup
 	until := time.Now().Add(duration)
 	for {
-		time.Sleep(time.Duration(-math.Log(1-n.fleet.float()) / rate * float64(time.Second)))
+		time.Sleep(time.Duration(-math.Log(1-target.fleet.float()) / rate * float64(time.Second)))
 		if !time.Now().Before(until) {
 			break
 		}
-		if limiter := n.fleet.pickLimiter(); limiter != nil {
-			wg.Go(func() { n.offerRequest(n.fleet.t.Context(), limiter) })
+		if limiter := target.fleet.pickLimiter(); limiter != nil {
+			wg.Go(func() { target.offerRequest(target.fleet.t.Context(), limiter) })
 		}
 	}
 	wg.Wait()
@@ -158,12 +158,12 @@
 
 // limitAt returns the limit that applies to a request at a given time; infinite if there is
 // none, or none that must be respected yet.
-func (n *limitedTarget) limitAt(at time.Time) float64 {
-	if at.Sub(n.started) < limitSettling {
+func (target *limitedTarget) limitAt(at time.Time) float64 {
+	if at.Sub(target.started) < limitSettling {
 		return math.Inf(1)
 	}
 	rate := math.Inf(1)
-	for _, l := range n.limits {
+	for _, l := range target.limits {
 		advertised := l.rate
 		if advertised == 0 {
 			advertised = math.Inf(1)
@@ -177,23 +177,23 @@
 }
 
 // allowed returns how many requests the limits allow between two times.
-func (n *limitedTarget) allowed(from, to time.Time) (sum float64) {
+func (target *limitedTarget) allowed(from, to time.Time) (sum float64) {
 	const step = 50 * time.Millisecond
 	for at := from; at.Before(to); at = at.Add(step) {
-		sum += n.limitAt(at) * min(step, to.Sub(at)).Seconds()
+		sum += target.limitAt(at) * min(step, to.Sub(at)).Seconds()
 	}
 	return sum
 }
 
 // marginUsed returns the largest share of the allowed excess over the limit that any window
 // used.
-func (n *limitedTarget) marginUsed() float64 {
+func (target *limitedTarget) marginUsed() float64 {
 	largest, first := math.Inf(-1), 0
-	for last, at := range n.counted {
-		for at.Sub(n.counted[first]) >= limitWindow {
+	for last, at := range target.counted {
+		for at.Sub(target.counted[first]) >= limitWindow {
 			first++
 		}
-		allowed := n.allowed(at.Add(-limitWindow), at)
+		allowed := target.allowed(at.Add(-limitWindow), at)
 		if math.IsInf(allowed, 1) {
 			continue
 		}
@@ -204,7 +204,9 @@
 }
 
 // received returns how many requests the target received between two times.
-func (n *limitedTarget) received(from, to time.Time) int { return countWithin(n.arrivals, from, to) }
+func (target *limitedTarget) received(from, to time.Time) int {
+	return countWithin(target.arrivals, from, to)
+}
 
 // countWithin counts the times in the interval that begins with from and ends before to.
 func countWithin(moments []time.Time, from, to time.Time) (count int) {
@@ -224,25 +226,25 @@
 
 // forEachLimit runs a scenario with a fleet in which only a target has a limit, for each rate,
 // with and without the limit in answers to probes.
-func forEachLimit(t *testing.T, name string, scenario func(n *limitedTarget, rate float64), check func(g *WithT, n *limitedTarget, rate float64)) {
+func forEachLimit(t *testing.T, name string, scenario func(target *limitedTarget, rate float64), check func(g *WithT, target *limitedTarget, rate float64)) {
 	for _, rate := range rates {
 		for _, inProbes := range []bool{true, false} {
 			for seed := range seeds() {
 				t.Run(fmt.Sprintf("%s/%g/probes %v/%d", name, rate, inProbes, seed), func(t *testing.T) {
 					t.Parallel()
 					g := NewWithT(t)
-					var n *limitedTarget
+					var target *limitedTarget
 					inVirtualTime(t, uint64(seed), size(), func(f *fleet) {
 						f.limits.Store(false)
 						time.Sleep(35 * time.Second) // recorded fleet sizes have expired by then
 						ctx, stop := context.WithCancel(f.t.Context())
 						defer stop()
 						go f.exchangePeriodically(ctx)
-						n = newLimitedTarget(f, rate, inProbes)
-						scenario(n, rate)
+						target = newLimitedTarget(f, rate, inProbes)
+						scenario(target, rate)
 					})
-					t.Logf("%.2f of the margin used, %d received, %d from uninformed gateways, %d skipped", n.marginUsed(), len(n.counted), n.uninformed, len(n.skipped))
-					check(g, n, rate)
+					t.Logf("%.2f of the margin used, %d received, %d from uninformed gateways, %d skipped", target.marginUsed(), len(target.counted), target.uninformed, len(target.skipped))
+					check(g, target, rate)
 				})
 			}
 		}
@@ -250,41 +252,41 @@
 }
 
 // The goal is to use at most half of the allowed excess.
-func expectWithinLimit(g *WithT, n *limitedTarget, _ float64) {
-	g.Expect(n.marginUsed()).To(BeNumerically("<=", 0.5))
+func expectWithinLimit(g *WithT, target *limitedTarget, _ float64) {
+	g.Expect(target.marginUsed()).To(BeNumerically("<=", 0.5))
 }
 
 func TestTargetLimitIsEnforcedAndUsed(t *testing.T) {
 	const duration = 20 * time.Second
-	forEachLimit(t, "steady load", func(n *limitedTarget, _ float64) { n.offerLoad(offeredRate, duration) }, func(g *WithT, n *limitedTarget, rate float64) {
-		expectWithinLimit(g, n, rate)
-		from := n.started.Add(limitSettling)
-		g.Expect(n.received(from, n.started.Add(duration))).To(BeNumerically(">=", 0.9*rate*(duration-limitSettling).Seconds()-1))
+	forEachLimit(t, "steady load", func(target *limitedTarget, _ float64) { target.offerLoad(offeredRate, duration) }, func(g *WithT, target *limitedTarget, rate float64) {
+		expectWithinLimit(g, target, rate)
+		from := target.started.Add(limitSettling)
+		g.Expect(target.received(from, target.started.Add(duration))).To(BeNumerically(">=", 0.9*rate*(duration-limitSettling).Seconds()-1))
 	})
 }
 
 func TestTargetLimitIsEnforcedDuringFaults(t *testing.T) {
 	for name, fault := range faults {
-		forEachLimit(t, name, func(n *limitedTarget, _ float64) {
+		forEachLimit(t, name, func(target *limitedTarget, _ float64) {
 			var wg sync.WaitGroup
-			wg.Go(func() { n.offerLoad(offeredRate, 14*time.Second) })
-			time.Sleep(time.Duration(3+2*n.fleet.float()) * time.Second)
-			fault(n.fleet)
+			wg.Go(func() { target.offerLoad(offeredRate, 14*time.Second) })
+			time.Sleep(time.Duration(3+2*target.fleet.float()) * time.Second)
+			fault(target.fleet)
 			wg.Wait()
 		}, expectWithinLimit)
 	}
 }
 
 func TestChangedTargetLimitIsEnforced(t *testing.T) {
-	forEachLimit(t, "limit changed", func(n *limitedTarget, rate float64) {
+	forEachLimit(t, "limit changed", func(target *limitedTarget, rate float64) {
 		var wg sync.WaitGroup
-		wg.Go(func() { n.offerLoad(offeredRate, 20*time.Second) })
+		wg.Go(func() { target.offerLoad(offeredRate, 20*time.Second) })
 		time.Sleep(5 * time.Second)
-		n.setLimit(rate / 2)
+		target.setLimit(rate / 2)
 		time.Sleep(5 * time.Second)
-		n.setLimit(rate * 2)
+		target.setLimit(rate * 2)
 		time.Sleep(5 * time.Second)
-		n.setLimit(rate / 4)
+		target.setLimit(rate / 4)
 		wg.Wait()
 	}, expectWithinLimit)
 }
@@ -293,20 +295,20 @@
 // its answers to requests show that, the second begins with the next answer.
 func TestLiftedTargetLimitIsDropped(t *testing.T) {
 	var liftedAt sync.Map
-	forEachLimit(t, "limit lifted", func(n *limitedTarget, _ float64) {
+	forEachLimit(t, "limit lifted", func(target *limitedTarget, _ float64) {
 		var wg sync.WaitGroup
-		wg.Go(func() { n.offerLoad(offeredRate, 20*time.Second) })
+		wg.Go(func() { target.offerLoad(offeredRate, 20*time.Second) })
 		time.Sleep(5 * time.Second)
-		n.setLimit(0)
-		liftedAt.Store(n, time.Now())
+		target.setLimit(0)
+		liftedAt.Store(target, time.Now())
 		wg.Wait()
-	}, func(g *WithT, n *limitedTarget, rate float64) {
-		expectWithinLimit(g, n, rate)
-		lifted, _ := liftedAt.Load(n)
+	}, func(g *WithT, target *limitedTarget, rate float64) {
+		expectWithinLimit(g, target, rate)
+		lifted, _ := liftedAt.Load(target)
 		from := lifted.(time.Time).Add(time.Second)
-		if !n.inProbes {
+		if !target.inProbes {
 			next := time.Duration(math.Inf(1))
-			for _, at := range n.counted { // others have no limit to lift
+			for _, at := range target.counted { // others have no limit to lift
 				if wait := at.Sub(lifted.(time.Time)); wait > 0 {
 					next = wait
 					break
@@ -315,8 +317,8 @@
 			from = from.Add(next)
 		}
 		until := from.Add(2 * time.Second)
-		g.Expect(n.received(from, until)).To(BeNumerically(">", 0))
-		g.Expect(countWithin(n.skipped, from, until)).To(BeZero())
+		g.Expect(target.received(from, until)).To(BeNumerically(">", 0))
+		g.Expect(countWithin(target.skipped, from, until)).To(BeZero())
 	})
 }
 
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -19,7 +19,7 @@
 //	pool := upstream.New(upstream.Options{Names: names, Clock: time.Now})
 //	pool.SetGate(gate) // asked before each write
 //	pool.OnSignals(register.Observe)
-//	pool.OnLimit(quota.NoteLimit)
+//	pool.OnLimit(quota.ObserveLimit)
 //	conn, failure := pool.Get(ctx, target)
 //	answer, failure := conn.Exchange(ctx, request)
 //	answer.OnEnd(func(*verdict.Error) { pool.Put(conn) })
