--- a/core/gateway/quota/ledger_test.go
+++ b/core/gateway/quota/ledger_test.go
@@ -25,7 +25,7 @@
 	return l
 }
 
-// sendHeartbeats sends heartbeats of gateways from (inclusive) to to (exclusive).
+// sendHeartbeats sends heartbeats of the gateways numbered from up to, but not including, to.
 func sendHeartbeats(l *quota.Ledger, seconds float64, from, to int) {
 	for i := from; i < to; i++ {
 		l.Observe(at(seconds), quota.Heartbeat{From: uint32(100 + i), Homes: []uint32{self}, Counts: true})
@@ -49,7 +49,7 @@
 	// Another gateway knows the size: one gateway in ten uses this one as a home.
 	l.Observe(at(0.2), quota.Heartbeat{From: 101, Homes: []uint32{self}, Counts: true, Fleet: quota.Fleet{Size: 20}})
 	g.Expect(requestCredit(l, 0.2, 100).Count).To(Equal(1)) // 2 in 20 of a tenth of the burst, and of what 0.1 s earned
-	g.Expect(requestCredit(l, 1.2, 100).Count).To(Equal(4)) // and of the burst; 10 were earned
+	g.Expect(requestCredit(l, 1.2, 100).Count).To(Equal(4)) // capped at 2 in 20 of the burst; 10 were earned
 	// A fleet size that is too old is ignored.
 	l = quota.NewLedger(self, started, 0)
 	l.Observe(at(0.2), quota.Heartbeat{From: 101, Homes: []uint32{self}, Counts: true, Fleet: quota.Fleet{Size: 20, Age: time.Minute}})
@@ -67,7 +67,7 @@
 	denied := requestCredit(l, 1.95, 1)
 	g.Expect(denied.Count).To(BeZero())
 	g.Expect(denied.Permille).To(Equal(1000))
-	g.Expect(denied.Pause).To(BeNumerically("~", 15*time.Millisecond, time.Millisecond)) // after the pause of the previous credit request
+	g.Expect(denied.Pause).To(BeNumerically("~", 15*time.Millisecond, time.Millisecond)) // scheduled after the previous credit request
 	g.Expect(requestCredit(l, 2.15, 100).Count).To(BeNumerically("~", 20, 1))
 }
 
--- a/core/gateway/quota/shared_test.go
+++ b/core/gateway/quota/shared_test.go
@@ -49,12 +49,12 @@
 func TestMergeIgnoresInvalidUpdates(t *testing.T) {
 	g := NewWithT(t)
 	shared := quota.NewSharedLimits(1)
-	for _, w := range []quota.Update{
+	for _, u := range []quota.Update{
 		{Rate: 1, Edition: 1}, {Life: limitedTarget, Rate: -1, Edition: 1}, {Life: limitedTarget, Rate: 1e9, Edition: 1},
 		{Life: limitedTarget, Rate: 1, Edition: 1, Age: -time.Second}, {Life: limitedTarget, Rate: 1, Edition: 1, Age: time.Hour},
 		{Life: limitedTarget, Edition: 1, Age: 2 * time.Minute},
 	} {
-		g.Expect(shared.Merge(at(0), []quota.Update{w})).To(BeEmpty(), "%v", w)
+		g.Expect(shared.Merge(at(0), []quota.Update{u})).To(BeEmpty(), "%v", u)
 	}
 }
 
@@ -72,8 +72,8 @@
 		if len(updates) == 0 {
 			break
 		}
-		for _, w := range updates {
-			received[w.Life.ID] = true
+		for _, u := range updates {
+			received[u.Life.ID] = true
 		}
 		position = to
 	}
