--- a/internal/gateway/quota/customers_test.go
+++ b/internal/gateway/quota/customers_test.go
@@ -36,8 +36,8 @@
 	return &customer{workspace: w, limit: limit, usualRate: usualRate}
 }
 
-// send makes a customer's requests for a while, at factor times the usual rate, to running
-// boxes picked unevenly. It returns once all requests have ended.
+// send makes a customer's requests for a while, at factor times the usual rate, to boxes picked
+// unevenly, and skips those that are not running. It returns once all requests have ended.
 func (f *fleet) send(c *customer, factor float64, duration time.Duration) {
 	var wg sync.WaitGroup
 	until := time.Now().Add(duration)
@@ -55,8 +55,8 @@
 	wg.Wait()
 }
 
-// pickLimiter picks a running box at random: a third of the boxes gets two thirds of the
-// requests.
+// pickLimiter picks a box at random, a third of the boxes for two thirds of the requests. It
+// returns nil if the box is not running.
 func (f *fleet) pickLimiter() *quota.Limiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/quota/exchange_test.go
+++ b/internal/gateway/quota/exchange_test.go
@@ -13,8 +13,8 @@
 func (f *fleet) exchangePeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Second / time.Duration(len(f.boxes)))
-		caller, neighbours := f.pickExchange()
-		for _, other := range neighbours {
+		caller, callees := f.pickExchange()
+		for _, other := range callees {
 			if caller != nil {
 				caller.ExtendSharing(other.SharingLeft())
 				f.exchange(other, caller)
