--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -66,7 +66,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	f.meet(now, reply.Members, f.view.Observe)
+	f.meet(now, reply.Members, f.view.ObserveAnswer)
 	f.fresh.NoteReader(now.Add(-reply.ReaderAge), reply.Reader)
 	f.noteTries(now, reply.Tries)
 	f.mergeUpdates(reply.Fatal, peer.ID)
@@ -96,7 +96,7 @@
 // held.
 func (f *Follower) compare(now time.Time, peer member.Box, reply *UpdateReply) {
 	theirs := reply.Delta.To
-	if f.catalog.Position().Lacks(theirs) {
+	if f.catalog.Position().IsBehind(theirs) {
 		f.noteOffer(now, offer{peer: peer, at: theirs})
 		return
 	}
@@ -129,7 +129,7 @@
 func (f *Follower) noteTries(now time.Time, tries []reader.Try) {
 	news := false
 	for _, try := range tries {
-		news = f.tries.Note(now, try) || news
+		news = f.tries.Add(now, try) || news
 		if try.Failed {
 			f.fresh.NoteFailed(now.Add(-try.Ago))
 		}
