--- a/core/gateway/quota/advertised.go
+++ b/core/gateway/quota/advertised.go
@@ -9,40 +9,42 @@
 )
 
 const (
-	// leastRate represents a smaller limit that a target names: somebody must still meet it
-	// now and then, to learn that it takes more.
-	leastRate = 0.2
-	// mostRate is a limit, in requests a second, beyond which none is held: no gateway sends
-	// one target as many.
-	mostRate = 100_000
-	// asksPerRequest and leastAsks are how many questions a second a home wants for a target,
-	// for each request a second that it takes and at least: enough that none of its credit is
-	// left over. Each comes behind a probe, which takes time from the target's work.
+	// minRate replaces any smaller advertised limit. A target must still receive an occasional
+	// request, or nobody would learn that it accepts more.
+	minRate = 0.2
+	// maxRate is the largest limit, in requests per second, that is enforced. No gateway sends
+	// that many to one target, so a higher limit counts as none.
+	maxRate = 100_000
+	// asksPerRequest and minAskRate determine how many credit requests per second a home
+	// accepts for a target: a number for each request per second of the limit, and a minimum.
+	// That is enough for all of the target's credit to be used. Each credit request follows a
+	// probe, which takes processing time from the target.
 	asksPerRequest = 4.0
-	leastAsks      = 8.0
-	// maxTargetPause bounds for how long a gateway passes a target over without a probe. It
-	// learns of others that there is no limit any more, unless an update is lost.
+	minAskRate     = 8.0
+	// maxTargetPause bounds how long a gateway skips a target without probing it. The gateway
+	// learns from others when the limit is lifted, unless that update is lost.
 	maxTargetPause = 30 * time.Second
-	// onTheWay is for how long an answer may have been on its way that a gateway gets.
-	onTheWay = 100 * time.Millisecond
-	// targetBurst and targetBurstSeconds are what the bucket of a target holds: a request, and
-	// what is earned in so long while nobody asks.
+	// maxReplyDelay is the longest time that an answer is assumed to have been in transit when
+	// a gateway receives it.
+	maxReplyDelay = 100 * time.Millisecond
+	// The token bucket of a target holds targetBurst requests plus what is earned in
+	// targetBurstSeconds without credit requests.
 	targetBurst        = 1.0
 	targetBurstSeconds = 0.25
 )
 
-// ErrAdvertised says that what should name a target's limit does not.
-var ErrAdvertised = errors.New("a limit is one decimal number of requests a second, not below 0")
+// ErrAdvertised is returned for header values that are not a valid limit.
+var ErrAdvertised = errors.New("limit must be one non-negative decimal number of requests per second")
 
-// Advertised is what one answer of a target says of the limit that it names.
+// Advertised is the limit that a target advertises in one answer.
 type Advertised struct {
-	// Rate is how many requests a second it takes from all gateways together; 0 for any
-	// number.
+	// Rate is how many requests per second the target accepts from all gateways together; 0 for
+	// no limit.
 	Rate float64
 }
 
-// ParseAdvertised reads the values of the header by which a target names its limit; none means that
-// it names no limit, and of several the smallest holds. It fails with ErrAdvertised.
+// ParseAdvertised parses the values of the header in which a target advertises its limit. No
+// values mean no limit; of several values the smallest applies. It fails with ErrAdvertised.
 func ParseAdvertised(values []string) (Advertised, error) {
 	smallest := math.Inf(1)
 	for _, value := range values {
@@ -52,97 +54,97 @@
 		}
 		smallest = min(smallest, rate)
 	}
-	if smallest > mostRate {
+	if smallest > maxRate {
 		return Advertised{}, nil
 	}
-	return Advertised{Rate: max(smallest, leastRate)}, nil
+	return Advertised{Rate: max(smallest, minRate)}, nil
 }
 
-// Limit is the limit that holds for the target.
-func (t Advertised) Limit() Limit {
-	if t.Rate == 0 {
+// Limit returns the limit to enforce for the target.
+func (a Advertised) Limit() Limit {
+	if a.Rate == 0 {
 		return Limit{}
 	}
-	return Limit{Rate: t.Rate, Burst: targetBurst + targetBurstSeconds*t.Rate}
+	return Limit{Rate: a.Rate, Burst: targetBurst + targetBurstSeconds*a.Rate}
 }
 
-func targetAsking(rate float64) asking {
-	return asking{rate: max(asksPerRequest*rate, leastAsks), maxPause: maxTargetPause}
+func targetAskBounds(rate float64) askBounds {
+	return askBounds{rate: max(asksPerRequest*rate, minAskRate), maxPause: maxTargetPause}
 }
 
-// Via is the kind of answer by which a target reports its limit.
-type Via int
+// Source is how a gateway learned of a target's limit.
+type Source int
 
-// The kinds of answers.
 const (
-	// ViaAnswer is the answer to a request.
-	ViaAnswer Via = iota
-	// ViaProbe is the answer to a health probe.
-	ViaProbe
-	// ViaHome is an answer of the home, which other gateways reported it to.
-	ViaHome
-	// ViaGateway is an update from another gateway.
-	ViaGateway
-	// ViaLapse is no update: the target was not met for long.
-	ViaLapse
+	// SourceAnswer is the target's answer to a request.
+	SourceAnswer Source = iota
+	// SourceProbe is the target's answer to a health probe.
+	SourceProbe
+	// SourceHome is a reply of the quota home, to which other gateways reported the limit.
+	SourceHome
+	// SourceGateway is an update from another gateway.
+	SourceGateway
+	// SourceExpiry means that the target was not in use for so long that its limit expired.
+	SourceExpiry
 )
 
-// String is how log lines name it.
-func (v Via) String() string { return [...]string{"answer", "probe", "home", "gateway", "lapse"}[v] }
+// String returns the name used in log lines.
+func (s Source) String() string { return [...]string{"answer", "probe", "home", "gateway", "lapse"}[s] }
 
-// Named is the limit that one target names, as a gateway knows it. The zero Named is that of
-// a target of which nothing was learnt. It is not safe for concurrent use.
-type Named struct {
+// KnownLimit is what a gateway knows of the limit of one target. The zero value is that of a
+// target of which nothing is known. It is not safe for concurrent use.
+type KnownLimit struct {
 	advertised Advertised
 	at         time.Time
-	// turned is when a limit was first named, or lifted, last.
-	turned time.Time
-	// inProbes says that its answers to probes name limits, so that one without any says
-	// that there is none.
-	inProbes bool
+	// toggledAt is when the target last went from no limit to a limit or back.
+	toggledAt time.Time
+	// reportedByProbes is set once an answer to a probe carried a limit, so that one without a
+	// limit means that there is none.
+	reportedByProbes bool
 }
 
-// Advertised is the limit.
-func (n *Named) Advertised() Advertised { return n.advertised }
+// Advertised returns the known limit.
+func (k *KnownLimit) Advertised() Advertised { return k.advertised }
 
-// Age is how long ago the limit was advertised.
-func (n *Named) Age(now time.Time) time.Duration { return now.Sub(n.at) }
+// Age returns the time since the limit was advertised.
+func (k *KnownLimit) Age(now time.Time) time.Duration { return now.Sub(k.at) }
 
-// Note takes in what was advertised at a moment, unless what is known is younger. It says whether
-// the limit is another one now.
-func (n *Named) Note(at time.Time, advertised Advertised, via Via) (changed bool) {
-	if n.ignores(at, advertised, via) {
+// Observe records what was advertised at a given time, unless more recent information is known.
+// It reports whether the limit changed.
+func (k *KnownLimit) Observe(at time.Time, advertised Advertised, source Source) (changed bool) {
+	if k.isStale(at, advertised, source) {
 		return false
 	}
-	if n.turns(advertised) {
-		n.turned = at
+	if k.toggles(advertised) {
+		k.toggledAt = at
 	}
-	n.inProbes = n.inProbes || via == ViaProbe && advertised.Rate > 0
-	changed = advertised != n.advertised
-	n.advertised = advertised
-	if at.After(n.at) {
-		n.at = at
+	k.reportedByProbes = k.reportedByProbes || source == SourceProbe && advertised.Rate > 0
+	changed = advertised != k.advertised
+	k.advertised = advertised
+	if at.After(k.at) {
+		k.at = at
 	}
 	return changed
 }
 
-// turns says whether a limit is named where there was none, or none any more.
-func (n *Named) turns(advertised Advertised) bool {
-	return (advertised.Rate > 0) != (n.advertised.Rate > 0)
+// toggles reports whether advertised introduces a limit where there was none, or lifts the
+// known one.
+func (k *KnownLimit) toggles(advertised Advertised) bool {
+	return (advertised.Rate > 0) != (k.advertised.Rate > 0)
 }
 
-// ignores says whether what was advertised changes nothing of what is known. Answers take their
-// time: one that was made before a target first named a limit, or lifted it, may come after
-// the update on that, or just before.
-func (n *Named) ignores(at time.Time, advertised Advertised, via Via) bool {
+// isStale reports whether an advertised limit must be ignored. Answers are in transit for a
+// while: one that was produced before the target first advertised a limit, or lifted it, may
+// arrive after the update about that change, or shortly before it.
+func (k *KnownLimit) isStale(at time.Time, advertised Advertised, source Source) bool {
 	switch {
-	case n.turns(advertised) && at.Sub(n.turned) < onTheWay:
+	case k.toggles(advertised) && at.Sub(k.toggledAt) < maxReplyDelay:
 		return true
 	case advertised.Rate > 0:
-		return at.Before(n.at)
-	case via == ViaProbe && !n.inProbes:
-		return true // they never reported limits
+		return at.Before(k.at)
+	case source == SourceProbe && !k.reportedByProbes:
+		return true // probes of this target don't carry limits
 	default:
-		return at.Add(onTheWay).Before(n.at)
+		return at.Add(maxReplyDelay).Before(k.at)
 	}
 }
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -250,8 +250,8 @@
 	listener net.Listener
 	stop     context.CancelFunc
 	fatal    *fatal.Register // nil where a test does not look at it
-	limits   *quota.Register // likewise
-	signals  *signals.Register
+	limits   *quota.Limiter  // likewise
+	signals  *signals.Registry
 	slept    atomic.Int64 // for how long its machine was suspended
 	mu       sync.Mutex
 	conns    []net.Conn
