--- a/internal/gateway/forward/forward.go
+++ b/internal/gateway/forward/forward.go
@@ -66,14 +66,14 @@
 	// Current says whether what is believed was confirmed lately.
 	Current func() bool
 	// Signals are what targets said of themselves; nil for what this handler sees alone.
-	Signals *signals.Register
+	Signals *signals.Registry
 	Pool    *upstream.Pool
 	Retry   Retry
 	// Fatal knows which requests end the targets that run them; nil for what this handler
 	// sees alone.
 	Fatal *fatal.Register
 	// Quota admits requests of workspaces that have limits; nil admits all.
-	Quota *quota.Register
+	Quota *quota.Limiter
 	// TrustsKeys says whether keys may be relied on that are believed to be in force; nil
 	// for always.
 	TrustsKeys func() bool
