--- a/core/gateway/rollout/analysis.go
+++ b/core/gateway/rollout/analysis.go
@@ -17,8 +17,8 @@
 // (baselineConfidence).
 const (
 	// rollbackRatio is the statistic from which on a version is rolled back, and
-	// suspectRatio the one from which on its share does not grow. Chosen by the simulations
-	// in table_test.go.
+	// suspectRatio the one from which on its share does not grow. The simulations in
+	// table_test.go check the resulting error rates.
 	rollbackRatio = 2000
 	suspectRatio  = 20
 	// urgentRollbackRatio replaces rollbackRatio where the time for rolling back a bad
@@ -69,8 +69,8 @@
 
 // measures are the criteria by which the versions are compared. A healthy version may fail
 // slightly more often where some of its few targets are faulty, and be slow more often
-// where they have a higher utilization than those of the baseline. Chosen by the
-// simulations in table_test.go.
+// where they have a higher utilization than those of the baseline. The simulations in
+// table_test.go check the resulting error rates.
 var measures = []measure{
 	{
 		reason: ReasonFailures, tolerance: 0.03, minExcess: 0.1,
--- a/core/gateway/rollout/stages.go
+++ b/core/gateway/rollout/stages.go
@@ -12,9 +12,9 @@
 	// reserve for delays such as an unreachable store.
 	rampStart = 0.55
 	// firstStageBudget and middleStageBudget are the shares of a bad version's allowed
-	// exposure that the first and the middle stage use. In simulations with a quarter for
-	// each, a version that turned bad in the last stage exceeded its exposure where the
-	// order gives 12 s.
+	// exposure that the first and the middle stage use. The rest is left for a version that
+	// turns bad in the last stage; TestExposureIsBoundedWheneverAVersionTurnsBad checks the
+	// total.
 	firstStageBudget  = 0.1
 	middleStageBudget = 0.1
 	// maxFirstStageBudget bounds the first share where the rate of the service is low and a
