--- a/box/peer/peer.go
+++ b/box/peer/peer.go
@@ -84,7 +84,7 @@
 type ReconcileArgs struct {
 	Box     string
 	Service string
-	Held    []ledger.Held
+	Held    []ledger.HeldGrant
 	// New says that the box has not had the other as its home before.
 	New bool
 	// ProbeTime hands over the box's share of each target's measuring budget.
--- a/core/box/ledger/choose.go
+++ b/core/box/ledger/choose.go
@@ -19,7 +19,7 @@
 )
 
 // choose finds the best target with a free slot, or nil.
-func (l *Ledger) choose(now time.Time, a Ask) *target {
+func (l *Ledger) choose(now time.Time, a SlotRequest) *target {
 	trust := l.trust(now)
 	var best *target
 	var bestScore float64
@@ -29,7 +29,7 @@
 			continue
 		}
 		limit := t.limit(now, trust)
-		if len(t.promised) >= limit {
+		if len(t.grants) >= limit {
 			continue
 		}
 		score := l.score(now, t, a)
@@ -41,8 +41,8 @@
 }
 
 // score is low for a good target: how full it is, how slow, how far.
-func (l *Ledger) score(now time.Time, t *target, a Ask) float64 {
-	s := float64(len(t.promised)) / float64(t.Slots)
+func (l *Ledger) score(now time.Time, t *target, a SlotRequest) float64 {
+	s := float64(len(t.grants)) / float64(t.Slots)
 	s += slowPenalty * max(t.tracker.Ratio()-1, 0)
 	if a.Hall != t.Hall {
 		s += hallPenalty
@@ -115,8 +115,8 @@
 // overdue says whether a request has been at the target for much longer than
 // usual: the first sign of a target that has slowed down or stopped.
 func (t *target) overdue(now time.Time) bool {
-	for _, g := range t.promised {
-		if now.Sub(g.at) > max(overdueRatio*g.usual, overdueLeast) {
+	for _, g := range t.grants {
+		if now.Sub(g.grantedAt) > max(overdueRatio*g.expected, overdueLeast) {
 			return true
 		}
 	}
--- a/core/box/ledger/ledger.go
+++ b/core/box/ledger/ledger.go
@@ -33,8 +33,8 @@
 	Slots   int
 }
 
-// Ask is a request for a slot.
-type Ask struct {
+// SlotRequest is a request for a slot.
+type SlotRequest struct {
 	// ID is unique among all asks of all boxes; it names the grant, too.
 	ID   string
 	Box  string
@@ -74,9 +74,9 @@
 	RetryAfter time.Duration
 }
 
-// Answer is a late decision for a queued ask.
-type Answer struct {
-	Ask      Ask
+// QueueDecision is a late decision for a queued ask.
+type QueueDecision struct {
+	Request  SlotRequest
 	Decision Decision
 	Waited   time.Duration
 }
@@ -93,8 +93,8 @@
 	BackOff time.Duration
 }
 
-// Held is a promise that a box says it holds.
-type Held struct {
+// HeldGrant is a promise that a box says it holds.
+type HeldGrant struct {
 	ID     string
 	Target string
 	Kind   string
@@ -110,50 +110,50 @@
 }
 
 type grant struct {
-	id     string
-	box    string
-	target *target
-	kind   string
-	at     time.Time
-	usual  time.Duration
-	until  time.Time // taken back then, whatever happened
+	id        string
+	box       string
+	target    *target
+	kind      string
+	grantedAt time.Time
+	expected  time.Duration
+	expires   time.Time // taken back then, whatever happened
 }
 
 type target struct {
 	Target
-	tracker  *health.Tracker
-	promised map[string]*grant
-	start    uint64 // greatest start number seen
-	leftAt   uint64 // start number that is leaving
-	leaving  bool
-	visited  time.Time
+	tracker      *health.Tracker
+	grants       map[string]*grant
+	start        uint64 // greatest start number seen
+	leavingStart uint64 // start number that is leaving
+	leaving      bool
+	lastContact  time.Time
 }
 
 // Ledger is the home's book of one service.
 type Ledger struct {
-	options Options
-	targets map[string]*target
-	order   []string
-	grants  map[string]*grant
-	heard   map[string]time.Time
-	queue   *queue
-	kinds   map[string]*kindTimes
-	mean    float64 // smoothed duration of all kinds, in seconds
-	answers []Answer
+	options     Options
+	targets     map[string]*target
+	order       []string
+	grants      map[string]*grant
+	lastSeen    map[string]time.Time
+	queue       *queue
+	kinds       map[string]*kindTimes
+	meanSeconds float64 // smoothed duration of all kinds, in seconds
+	decisions   []QueueDecision
 }
 
-// forgotten is how long a grant may outlive its deadline.
-const forgotten = 30 * time.Second
+// expiryMargin is how long a grant may outlive its deadline.
+const expiryMargin = 30 * time.Second
 
 // New makes an empty ledger.
 func New(o Options) *Ledger {
 	return &Ledger{
-		options: o,
-		targets: map[string]*target{},
-		grants:  map[string]*grant{},
-		heard:   map[string]time.Time{},
-		queue:   newQueue(),
-		kinds:   map[string]*kindTimes{},
+		options:  o,
+		targets:  map[string]*target{},
+		grants:   map[string]*grant{},
+		lastSeen: map[string]time.Time{},
+		queue:    newQueue(),
+		kinds:    map[string]*kindTimes{},
 	}
 }
 
@@ -165,7 +165,7 @@
 	for _, t := range targets {
 		known, ok := l.targets[t.Address]
 		if !ok {
-			known = &target{tracker: health.New(t.Slots), promised: map[string]*grant{}, visited: now}
+			known = &target{tracker: health.New(t.Slots), grants: map[string]*grant{}, lastContact: now}
 		}
 		known.Target = t
 		known.tracker.SetSlots(t.Slots)
@@ -173,15 +173,15 @@
 		l.order = append(l.order, t.Address)
 	}
 	l.targets = next
-	l.serve(now)
+	l.serveQueue(now)
 }
 
 // SetMaxQueue changes how many asks may wait.
 func (l *Ledger) SetMaxQueue(n int) { l.options.MaxQueue = n }
 
-// Ask decides about a request: granted, queued or refused.
-func (l *Ledger) Ask(now time.Time, a Ask) Decision {
-	l.heard[a.Box] = now
+// Acquire decides about a request: granted, queued or refused.
+func (l *Ledger) Acquire(now time.Time, a SlotRequest) Decision {
+	l.lastSeen[a.Box] = now
 	if l.queue.len() == 0 || a.SpareOnly {
 		if t := l.choose(now, a); t != nil {
 			return l.grant(now, a, t)
@@ -193,13 +193,13 @@
 	if d, refused := l.refuse(now, a); refused {
 		return d
 	}
-	l.queue.add(&waiting{ask: a, since: now, until: l.waitUntil(now, a)})
-	l.serve(now)
+	l.queue.add(&waiting{ask: a, since: now, until: l.latestStart(now, a)})
+	l.serveQueue(now)
 	return Decision{State: Queued}
 }
 
-// waitUntil is the last moment at which a start would still be of use.
-func (l *Ledger) waitUntil(now time.Time, a Ask) time.Time {
+// latestStart is the last moment at which a start would still be of use.
+func (l *Ledger) latestStart(now time.Time, a SlotRequest) time.Time {
 	latest := a.Deadline.Add(-l.usual(a.Kind, a.Usual))
 	if byWait := now.Add(a.LongestWait); byWait.Before(latest) {
 		return byWait
@@ -207,20 +207,20 @@
 	return latest
 }
 
-func (l *Ledger) grant(now time.Time, a Ask, t *target) Decision {
+func (l *Ledger) grant(now time.Time, a SlotRequest, t *target) Decision {
 	g := &grant{
-		id: a.ID, box: a.Box, target: t, kind: a.Kind, at: now,
-		usual: l.usual(a.Kind, a.Usual),
-		until: a.Deadline.Add(forgotten),
+		id: a.ID, box: a.Box, target: t, kind: a.Kind, grantedAt: now,
+		expected: l.usual(a.Kind, a.Usual),
+		expires:  a.Deadline.Add(expiryMargin),
 	}
 	l.grants[a.ID] = g
-	t.promised[a.ID] = g
-	t.visited = now
+	t.grants[a.ID] = g
+	t.lastContact = now
 	return Decision{State: Granted, Target: t.Address, HedgeAfter: l.hedgeAfter(a.Kind)}
 }
 
-// Return takes a slot back with its outcome and serves the queue.
-func (l *Ledger) Return(now time.Time, id string, o Outcome) {
+// Release takes a slot back with its outcome and serves the queue.
+func (l *Ledger) Release(now time.Time, id string, o Outcome) {
 	if l.queue.remove(now, id) { // the box gave up while it waited
 		return
 	}
@@ -228,71 +228,71 @@
 	if !ok {
 		return
 	}
-	l.drop(g)
-	l.heard[g.box] = now
-	l.learn(now, g, o)
-	l.serve(now)
+	l.removeGrant(g)
+	l.lastSeen[g.box] = now
+	l.recordOutcome(now, g, o)
+	l.serveQueue(now)
 }
 
-func (l *Ledger) learn(now time.Time, g *grant, o Outcome) {
-	g.target.saw(o)
-	g.target.tracker.Observe(now, o.Result, o.Took, l.usual(g.kind, g.usual))
+func (l *Ledger) recordOutcome(now time.Time, g *grant, o Outcome) {
+	g.target.observeOutcome(o)
+	g.target.tracker.Observe(now, o.Result, o.Took, l.usual(g.kind, g.expected))
 	g.target.tracker.BackOff(now, o.BackOff)
 	if o.Result == health.OK {
 		l.times(g.kind).add(now, o.Took)
-		l.mean = smooth(l.mean, o.Took.Seconds())
+		l.meanSeconds = smooth(l.meanSeconds, o.Took.Seconds())
 	}
 }
 
-func (l *Ledger) drop(g *grant) {
+func (l *Ledger) removeGrant(g *grant) {
 	delete(l.grants, g.id)
-	delete(g.target.promised, g.id)
+	delete(g.target.grants, g.id)
 }
 
 // Tick ends waits that ran out, takes back what vanished boxes held for longer
 // than grace, and serves the queue.
 func (l *Ledger) Tick(now time.Time, grace time.Duration) {
 	for _, w := range l.queue.expired(now) {
-		l.answer(now, w, Decision{State: Refused, Reason: verdict.ReasonTooLate, RetryAfter: l.drain()})
+		l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonTooLate, RetryAfter: l.drain()})
 	}
 	for _, g := range l.grants {
-		if now.Sub(l.heard[g.box]) > grace || now.After(g.until) {
-			l.drop(g)
+		if now.Sub(l.lastSeen[g.box]) > grace || now.After(g.expires) {
+			l.removeGrant(g)
 		}
 	}
-	l.serve(now)
+	l.serveQueue(now)
 }
 
-// MoveOthers refuses what waits for other boxes than self, since another box
+// RefuseOthers refuses what waits for other boxes than self, since another box
 // is the home now.
-func (l *Ledger) MoveOthers(now time.Time, self string) {
+func (l *Ledger) RefuseOthers(now time.Time, self string) {
 	for _, w := range l.queue.notOf(now, self) {
-		l.answer(now, w, Decision{State: Refused, Reason: verdict.ReasonMoved})
+		l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonMoved})
 	}
 }
 
-// Answers hands out the late decisions made since the last call.
-func (l *Ledger) Answers() []Answer {
-	out := l.answers
-	l.answers = nil
+// TakeQueueDecisions hands out the late decisions made since the last call.
+func (l *Ledger) TakeQueueDecisions() []QueueDecision {
+	out := l.decisions
+	l.decisions = nil
 	return out
 }
 
-func (l *Ledger) answer(now time.Time, w *waiting, d Decision) {
-	l.answers = append(l.answers, Answer{Ask: w.ask, Decision: d, Waited: now.Sub(w.since)})
+func (l *Ledger) addDecision(now time.Time, w *waiting, d Decision) {
+	l.decisions = append(l.decisions, QueueDecision{Request: w.ask, Decision: d, Waited: now.Sub(w.since)})
 }
 
-// serve grants free slots to queued asks.
-func (l *Ledger) serve(now time.Time) {
-	for l.queue.len() > 0 && l.choose(now, Ask{}) != nil {
+// serveQueue grants free slots to queued asks.
+func (l *Ledger) serveQueue(now time.Time) {
+	for l.queue.len() > 0 && l.choose(now, SlotRequest{}) != nil {
 		w := l.queue.next(now)
 		if w == nil {
 			return
 		}
 		t := l.choose(now, w.ask)
 		if t == nil { // every free target was tried before; any is better than none
-			t = l.choose(now, Ask{Hall: w.ask.Hall})
+			t = l.choose(now, SlotRequest{Hall: w.ask.Hall})
 		}
-		l.answer(now, w, l.grant(now, w.ask, t))
+		l.addDecision(now, w, l.grant(now, w.ask, t))
 	}
 }
--- a/core/box/ledger/ledger_test.go
+++ b/core/box/ledger/ledger_test.go
@@ -53,28 +53,28 @@
 			if d.State == ledger.Granted {
 				ids = append(ids, id)
 			} else {
-				b.Return(b.now, id, ledger.Outcome{Result: health.Unused})
+				b.Release(b.now, id, ledger.Outcome{Result: health.Unused})
 			}
 		}
 		b.now = b.now.Add(10 * time.Millisecond)
 		for _, id := range ids {
-			b.Return(b.now, id, ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
+			b.Release(b.now, id, ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
 		}
 	}
-	b.Answers()
+	b.TakeQueueDecisions()
 }
 
 func (b *book) ask(weight int, box string) (string, ledger.Decision) {
 	b.seq++
 	id := fmt.Sprint("a", b.seq)
-	return id, b.Ask(b.now, ledger.Ask{
+	return id, b.Acquire(b.now, ledger.SlotRequest{
 		ID: id, Box: box, Hall: "north", Kind: "k", Weight: weight,
 		Deadline: b.now.Add(time.Second), LongestWait: time.Second, Usual: 10 * time.Millisecond,
 	})
 }
 
 func (b *book) ok(id string) {
-	b.Return(b.now, id, ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
+	b.Release(b.now, id, ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
 }
 
 var _ = Describe("the ledger", func() {
@@ -92,8 +92,8 @@
 		b := newBook(2, 1, 10)
 		first, d := b.ask(1, "a")
 		resting := d.Target
-		b.Return(b.now, first, ledger.Outcome{Result: health.Shed, BackOff: 400 * time.Millisecond})
-		b.Probed(b.now, resting, ledger.Outcome{Result: health.OK, BackOff: 100 * time.Millisecond})
+		b.Release(b.now, first, ledger.Outcome{Result: health.Shed, BackOff: 400 * time.Millisecond})
+		b.RecordProbe(b.now, resting, ledger.Outcome{Result: health.OK, BackOff: 100 * time.Millisecond})
 		for range 39 {
 			b.now = b.now.Add(10 * time.Millisecond)
 			id, d := b.ask(1, "a")
@@ -117,9 +117,9 @@
 		}
 		for range 15 {
 			b.ok(holder)
-			answers := b.Answers()
+			answers := b.TakeQueueDecisions()
 			Expect(answers).To(HaveLen(1))
-			holder = answers[0].Ask.ID
+			holder = answers[0].Request.ID
 			served = append(served, holder)
 		}
 		Expect(served[0]).NotTo(Equal(light))
@@ -149,9 +149,9 @@
 		Expect(full.Reason).To(Equal(verdict.ReasonQueueFull))
 		_, d := b.ask(9, "a")
 		Expect(d.State).To(Equal(ledger.Queued))
-		answers := b.Answers()
+		answers := b.TakeQueueDecisions()
 		Expect(answers).To(HaveLen(1))
-		Expect(answers[0].Ask.ID).To(Equal(gives))
+		Expect(answers[0].Request.ID).To(Equal(gives))
 		Expect(answers[0].Decision.Reason).To(Equal(verdict.ReasonQueueFull))
 	})
 
@@ -161,9 +161,9 @@
 		waits, _ := b.ask(1, "a")
 		b.now = b.now.Add(1100 * time.Millisecond)
 		b.Tick(b.now, grace)
-		answers := b.Answers()
+		answers := b.TakeQueueDecisions()
 		Expect(answers).To(HaveLen(1))
-		Expect(answers[0].Ask.ID).To(Equal(waits))
+		Expect(answers[0].Request.ID).To(Equal(waits))
 		Expect(answers[0].Decision.Reason).To(Equal(verdict.ReasonTooLate))
 	})
 
@@ -182,8 +182,8 @@
 		b := newBook(1, 2, 10)
 		lost, _ := b.ask(1, "a")
 		b.now = b.now.Add(2 * time.Second)
-		b.Adopt(b.now, "a", []ledger.Held{{ID: "other", Target: "t0"}})
-		b.Reconcile(b.now, "a", []ledger.Held{{ID: "other", Target: "t0"}}, time.Second)
+		b.Adopt(b.now, "a", []ledger.HeldGrant{{ID: "other", Target: "t0"}})
+		b.Reconcile(b.now, "a", []ledger.HeldGrant{{ID: "other", Target: "t0"}}, time.Second)
 		Expect(b.InFlight()).To(Equal(1))
 		b.ok(lost)
 		Expect(b.InFlight()).To(Equal(1))
@@ -195,7 +195,7 @@
 		b := newBook(1, 1, 10)
 		id, _ := b.ask(1, "a")
 		b.ok(id)
-		b.Reconcile(b.now, "a", []ledger.Held{{ID: id, Target: "t0"}}, time.Second)
+		b.Reconcile(b.now, "a", []ledger.HeldGrant{{ID: id, Target: "t0"}}, time.Second)
 		Expect(b.InFlight()).To(Equal(0))
 	})
 
@@ -220,7 +220,7 @@
 			}
 		}
 		for _, id := range ids {
-			b.Return(b.now, id, ledger.Outcome{Result: health.Unused})
+			b.Release(b.now, id, ledger.Outcome{Result: health.Unused})
 		}
 		return count
 	}
@@ -236,13 +236,13 @@
 
 	It("that leaves gets no new work until a greater start number is seen", func() {
 		b := newBook(2, 3, 10)
-		b.Leave("t0", 0)
+		b.MarkLeaving("t0", 0)
 		Expect(grantsTo(b, "t0", 6)).To(Equal(0))
-		b.Probed(b.now, "t0", ledger.Outcome{Result: health.OK, Start: 5})
+		b.RecordProbe(b.now, "t0", ledger.Outcome{Result: health.OK, Start: 5})
 		Expect(grantsTo(b, "t0", 6)).To(Equal(0), "the first start number seen is the life that leaves")
-		b.Probed(b.now, "t0", ledger.Outcome{Result: health.OK, Start: 6})
+		b.RecordProbe(b.now, "t0", ledger.Outcome{Result: health.OK, Start: 6})
 		Expect(grantsTo(b, "t0", 6)).To(BeNumerically(">", 0))
-		b.Leave("t0", 5)
+		b.MarkLeaving("t0", 5)
 		Expect(grantsTo(b, "t0", 6)).To(BeNumerically(">", 0), "old news of an earlier life")
 	})
 
@@ -252,10 +252,10 @@
 			for {
 				id, d := b.ask(1, "a")
 				if d.Target == address {
-					b.Return(b.now, id, ledger.Outcome{Result: health.Unreachable})
+					b.Release(b.now, id, ledger.Outcome{Result: health.Unreachable})
 					break
 				}
-				defer b.Return(b.now, id, ledger.Outcome{Result: health.Unused})
+				defer b.Release(b.now, id, ledger.Outcome{Result: health.Unused})
 			}
 		}
 		Expect(grantsTo(b, "t0", 4) + grantsTo(b, "t1", 4) + grantsTo(b, "t2", 4)).To(Equal(0))
@@ -271,7 +271,7 @@
 			for {
 				id, d := b2.ask(1, "a")
 				if d.Target == address {
-					b2.Return(b2.now, id, ledger.Outcome{Result: health.Failed, Took: time.Millisecond})
+					b2.Release(b2.now, id, ledger.Outcome{Result: health.Failed, Took: time.Millisecond})
 					return
 				}
 			}
@@ -304,13 +304,13 @@
 		granted := map[string]string{}
 		waiting := map[string]bool{}
 		take := func() {
-			for _, a := range b.Answers() {
-				if !waiting[a.Ask.ID] {
-					rt.Fatalf("%s answered twice", a.Ask.ID)
+			for _, a := range b.TakeQueueDecisions() {
+				if !waiting[a.Request.ID] {
+					rt.Fatalf("%s answered twice", a.Request.ID)
 				}
-				delete(waiting, a.Ask.ID)
+				delete(waiting, a.Request.ID)
 				if a.Decision.State == ledger.Granted {
-					granted[a.Ask.ID] = a.Decision.Target
+					granted[a.Request.ID] = a.Decision.Target
 				}
 			}
 		}
@@ -327,15 +327,15 @@
 			case 3, 4:
 				result := rapid.SampledFrom([]health.Result{health.OK, health.OK, health.Failed, health.Unreachable, health.Shed}).Draw(rt, "result")
 				for id := range granted {
-					b.Return(b.now, id, ledger.Outcome{Result: result, Took: 10 * time.Millisecond})
+					b.Release(b.now, id, ledger.Outcome{Result: result, Took: 10 * time.Millisecond})
 					delete(granted, id)
 					break
 				}
 			case 5:
-				b.Observe(b.now, "a")
+				b.MarkSeen(b.now, "a")
 				b.Tick(b.now, time.Hour)
 			case 6:
-				b.Leave("t0", 0)
+				b.MarkLeaving("t0", 0)
 			}
 			take()
 			inFlight := map[string]int{}
@@ -351,7 +351,7 @@
 		}
 		for range 100 {
 			b.now = b.now.Add(20 * time.Millisecond)
-			b.Observe(b.now, "a")
+			b.MarkSeen(b.now, "a")
 			b.Tick(b.now, time.Hour)
 			take()
 		}
@@ -364,10 +364,10 @@
 func TestADecisionAllocatesLittle(t *testing.T) {
 	const most = 4
 	b := newBook(20, 3, 100)
-	a := ledger.Ask{ID: "x", Box: "a", Hall: "north", Kind: "k", Weight: 1, Deadline: b.now.Add(time.Second), LongestWait: time.Second}
+	a := ledger.SlotRequest{ID: "x", Box: "a", Hall: "north", Kind: "k", Weight: 1, Deadline: b.now.Add(time.Second), LongestWait: time.Second}
 	got := testing.AllocsPerRun(1000, func() {
-		b.Ask(b.now, a)
-		b.Return(b.now, "x", ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
+		b.Acquire(b.now, a)
+		b.Release(b.now, "x", ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
 	})
 	if got > most {
 		t.Fatalf("a decision and its return allocate %v times, more than %d", got, most)
@@ -378,11 +378,11 @@
 	for _, targets := range []int{5, 10, 20, 40, 80} {
 		b.Run(fmt.Sprint(targets, " targets"), func(b *testing.B) {
 			l := newBook(targets, 3, 100)
-			a := ledger.Ask{ID: "x", Box: "a", Hall: "north", Kind: "k", Weight: 1, Deadline: l.now.Add(time.Second), LongestWait: time.Second}
+			a := ledger.SlotRequest{ID: "x", Box: "a", Hall: "north", Kind: "k", Weight: 1, Deadline: l.now.Add(time.Second), LongestWait: time.Second}
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Ask(l.now, a)
-				l.Return(l.now, "x", ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
+				l.Acquire(l.now, a)
+				l.Release(l.now, "x", ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
 			}
 		})
 	}
--- a/core/box/ledger/predict.go
+++ b/core/box/ledger/predict.go
@@ -76,7 +76,7 @@
 }
 
 // refuse decides whether to refuse an ask at once instead of queueing it.
-func (l *Ledger) refuse(now time.Time, a Ask) (Decision, bool) {
+func (l *Ledger) refuse(now time.Time, a SlotRequest) (Decision, bool) {
 	refused := func(r verdict.Reason, after time.Duration) (Decision, bool) {
 		return Decision{State: Refused, Reason: r, RetryAfter: l.jitter(after)}, true
 	}
@@ -90,7 +90,7 @@
 	}
 	wait := l.predict(l.queue.ahead(a.Weight, a.Deadline)+1, max(capacity, 1))
 	wait = max(wait, l.queue.classWait(now, a.Weight))
-	if now.Add(wait).After(l.waitUntil(now, a)) {
+	if now.Add(wait).After(l.latestStart(now, a)) {
 		return refused(verdict.ReasonTooLate, wait)
 	}
 	return Decision{}, false
@@ -103,7 +103,7 @@
 	if w == nil {
 		return false
 	}
-	l.answer(now, w, Decision{State: Refused, Reason: verdict.ReasonQueueFull, RetryAfter: l.jitter(l.drain())})
+	l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonQueueFull, RetryAfter: l.jitter(l.drain())})
 	return true
 }
 
@@ -119,7 +119,7 @@
 
 // predict is the wait until the n-th next slot is free.
 func (l *Ledger) predict(n, capacity int) time.Duration {
-	return time.Duration(float64(n) * l.mean / float64(capacity) * float64(time.Second))
+	return time.Duration(float64(n) * l.meanSeconds / float64(capacity) * float64(time.Second))
 }
 
 // drain is how long the queue takes to empty.
--- a/core/box/ledger/queue.go
+++ b/core/box/ledger/queue.go
@@ -11,7 +11,7 @@
 
 // waiting is a queued ask.
 type waiting struct {
-	ask     Ask
+	ask     SlotRequest
 	since   time.Time
 	until   time.Time // the wait ends here
 	order   int       // of arrival
--- a/core/box/ledger/sim_home_test.go
+++ b/core/box/ledger/sim_home_test.go
@@ -20,7 +20,7 @@
 	home    int
 	seq     int
 	waiters map[string]func(ledger.Decision)
-	held    map[int]map[string]ledger.Held // by box
+	held    map[int]map[string]ledger.HeldGrant // by box
 	heldAt  map[string]time.Duration
 	asking  map[string]func() // asks without a decision, to be made anew
 	budget  float64
@@ -29,7 +29,7 @@
 func newHomeBox(s *sim) *homeBox {
 	h := &homeBox{
 		s: s, budget: 10,
-		held: map[int]map[string]ledger.Held{}, heldAt: map[string]time.Duration{},
+		held: map[int]map[string]ledger.HeldGrant{}, heldAt: map[string]time.Duration{},
 		asking: map[string]func(){},
 	}
 	h.begin()
@@ -47,7 +47,7 @@
 		return
 	}
 	for box := range h.s.c.boxes {
-		h.ledger.Observe(h.s.time(), strconv.Itoa(box))
+		h.ledger.MarkSeen(h.s.time(), strconv.Itoa(box))
 	}
 	h.ledger.Tick(h.s.time(), time.Second)
 	h.deliver()
@@ -74,7 +74,7 @@
 		h.home++
 		h.begin()
 		for box, held := range h.held {
-			list := make([]ledger.Held, 0, len(held))
+			list := make([]ledger.HeldGrant, 0, len(held))
 			for id, one := range held {
 				one.For = h.s.now - h.heldAt[id]
 				list = append(list, one)
@@ -100,9 +100,9 @@
 	if h.ledger == nil {
 		return
 	}
-	for _, a := range h.ledger.Answers() {
-		if w, ok := h.waiters[a.Ask.ID]; ok {
-			delete(h.waiters, a.Ask.ID)
+	for _, a := range h.ledger.TakeQueueDecisions() {
+		if w, ok := h.waiters[a.Request.ID]; ok {
+			delete(h.waiters, a.Request.ID)
 			w(a.Decision)
 		}
 	}
@@ -160,7 +160,7 @@
 			if h.ledger == nil {
 				return // the home is dead; the ask is made anew after the silence
 			}
-			d := h.ledger.Ask(h.s.time(), h.askOf(r, id, spareOnly))
+			d := h.ledger.Acquire(h.s.time(), h.askOf(r, id, spareOnly))
 			if d.State == ledger.Queued {
 				h.waiters[id] = arrived
 			} else {
@@ -172,12 +172,12 @@
 	again()
 }
 
-func (h *homeBox) askOf(r *request, id string, spareOnly bool) ledger.Ask {
+func (h *homeBox) askOf(r *request, id string, spareOnly bool) ledger.SlotRequest {
 	avoid := make([]string, len(r.tried))
 	for i, t := range r.tried {
 		avoid[i] = strconv.Itoa(t)
 	}
-	return ledger.Ask{
+	return ledger.SlotRequest{
 		ID: id, Box: strconv.Itoa(r.box), Hall: strconv.Itoa(r.hall), Kind: r.kind.name, Weight: r.kind.weight,
 		Deadline: epoch.Add(r.deadline), LongestWait: r.kind.patience, Usual: r.kind.mean,
 		Avoid: avoid, SpareOnly: spareOnly,
@@ -186,9 +186,9 @@
 
 func (h *homeBox) hold(r *request, id string, d ledger.Decision) {
 	if h.held[r.box] == nil {
-		h.held[r.box] = map[string]ledger.Held{}
+		h.held[r.box] = map[string]ledger.HeldGrant{}
 	}
-	h.held[r.box][id] = ledger.Held{ID: id, Target: d.Target, Kind: r.kind.name}
+	h.held[r.box][id] = ledger.HeldGrant{ID: id, Target: d.Target, Kind: r.kind.name}
 	h.heldAt[id] = h.s.now
 }
 
@@ -277,7 +277,7 @@
 	delete(h.held[r.box], id)
 	h.s.after(h.away(r.box), func() {
 		if h.ledger != nil {
-			h.ledger.Return(h.s.time(), id, ledger.Outcome{Result: results[result], Took: took})
+			h.ledger.Release(h.s.time(), id, ledger.Outcome{Result: results[result], Took: took})
 			h.deliver()
 		}
 	})
--- a/core/box/ledger/view.go
+++ b/core/box/ledger/view.go
@@ -34,9 +34,9 @@
 		t := l.targets[address]
 		out = append(out, TargetView{
 			Address: address, Hall: t.Hall, Slots: t.Slots,
-			Limit: t.limit(now, trust), InFlight: len(t.promised),
+			Limit: t.limit(now, trust), InFlight: len(t.grants),
 			State: t.state(now), Start: t.start, Ratio: t.tracker.Ratio(),
-			Idle: now.Sub(t.visited), BacksOff: t.tracker.BacksOff(now),
+			Idle: now.Sub(t.lastContact), BacksOff: t.tracker.BacksOff(now),
 		})
 	}
 	return out
@@ -57,12 +57,12 @@
 	}
 }
 
-// Leaving lists the targets that leave, with the start number that does.
-func (l *Ledger) Leaving() map[string]uint64 {
+// LeavingTargets lists the targets that leave, with the start number that does.
+func (l *Ledger) LeavingTargets() map[string]uint64 {
 	out := map[string]uint64{}
 	for address, t := range l.targets {
 		if t.leaving {
-			out[address] = t.leftAt
+			out[address] = t.leavingStart
 		}
 	}
 	return out
@@ -75,7 +75,7 @@
 	if !known || !t.leaving {
 		return 0, false
 	}
-	return t.leftAt, true
+	return t.leavingStart, true
 }
 
 // QueueLen is how many asks wait.
--- a/internal/box/grant/grant.go
+++ b/internal/box/grant/grant.go
@@ -98,7 +98,7 @@
 }
 
 type heldSlot struct {
-	ledger.Held
+	ledger.HeldGrant
 	at time.Time
 }
 
@@ -210,8 +210,8 @@
 }
 
 // LedgerAsk turns a peer's ask into the ledger's form.
-func LedgerAsk(now time.Time, a peer.AskArgs) ledger.Ask {
-	return ledger.Ask{
+func LedgerAsk(now time.Time, a peer.AskArgs) ledger.SlotRequest {
+	return ledger.SlotRequest{
 		ID: a.ID, Box: a.Box, Hall: a.Hall, Kind: a.Kind, Weight: a.Weight,
 		Deadline: now.Add(a.Remaining), LongestWait: a.LongestWait, Usual: a.Usual,
 		Avoid: a.Avoid, SpareOnly: a.SpareOnly,
--- a/internal/box/grant/holds.go
+++ b/internal/box/grant/holds.go
@@ -16,7 +16,7 @@
 	if b.held[s.service] == nil {
 		b.held[s.service] = map[string]heldSlot{}
 	}
-	b.held[s.service][s.id] = heldSlot{Held: ledger.Held{ID: s.id, Target: s.target, Kind: kind}, at: s.at}
+	b.held[s.service][s.id] = heldSlot{HeldGrant: ledger.HeldGrant{ID: s.id, Target: s.target, Kind: kind}, at: s.at}
 }
 
 func (b *Broker) unhold(s *Slot) {
@@ -58,14 +58,14 @@
 	_ = b.options.Members.Link(at).Send(ctx, peer.MethodReconcile, args)
 }
 
-func (b *Broker) heldOf(service string) []ledger.Held {
+func (b *Broker) heldOf(service string) []ledger.HeldGrant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.options.Clock()
-	out := make([]ledger.Held, 0, len(b.held[service]))
+	out := make([]ledger.HeldGrant, 0, len(b.held[service]))
 	for _, h := range b.held[service] {
 		h.For = now.Sub(h.at)
-		out = append(out, h.Held)
+		out = append(out, h.HeldGrant)
 	}
 	return out
 }
--- a/internal/box/home/home.go
+++ b/internal/box/home/home.go
@@ -125,17 +125,17 @@
 }
 
 func (s *service) deliver() {
-	for _, a := range s.ledger.Answers() {
-		if w, ok := s.waiters[a.Ask.ID]; ok {
+	for _, a := range s.ledger.TakeQueueDecisions() {
+		if w, ok := s.waiters[a.Request.ID]; ok {
 			w <- Decision{Decision: a.Decision, Waited: a.Waited}
-			delete(s.waiters, a.Ask.ID)
+			delete(s.waiters, a.Request.ID)
 		}
 	}
 }
 
 // Ask decides about a request, waiting in the queue if need be. When ctx ends
 // first, the ask is taken back.
-func (h *Home) Ask(ctx context.Context, name string, a ledger.Ask) Decision {
+func (h *Home) Ask(ctx context.Context, name string, a ledger.SlotRequest) Decision {
 	s := h.find(name)
 	if s == nil {
 		return refused(verdict.ReasonNoService)
@@ -165,10 +165,10 @@
 }
 
 // ask decides at once, or gives the channel on which the decision will come.
-func (s *service) ask(now time.Time, a ledger.Ask) (Decision, chan Decision) {
+func (s *service) ask(now time.Time, a ledger.SlotRequest) (Decision, chan Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.ledger.Ask(now, a)
+	d := s.ledger.Acquire(now, a)
 	if d.State != ledger.Queued {
 		s.deliver()
 		return Decision{Decision: d}, nil
@@ -187,7 +187,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Return(h.options.Clock(), id, o)
+	s.ledger.Release(h.options.Clock(), id, o)
 	s.deliver()
 	if w, ok := s.waiters[id]; ok {
 		w <- refused(verdict.ReasonClientGone)
@@ -197,7 +197,7 @@
 
 // Reconcile takes in all that a box says it holds of a service. isNew says that
 // the box has not had this one as its home before.
-func (h *Home) Reconcile(name, box string, held []ledger.Held, isNew bool) {
+func (h *Home) Reconcile(name, box string, held []ledger.HeldGrant, isNew bool) {
 	h.with(name, func(now time.Time, l *ledger.Ledger) {
 		if isNew {
 			l.Adopt(now, box, held)
@@ -210,20 +210,20 @@
 // Leave notes in every service that a target leaves; start 0 means its current life.
 func (h *Home) Leave(address string, start uint64) {
 	for _, name := range h.Names() {
-		h.with(name, func(_ time.Time, l *ledger.Ledger) { l.Leave(address, start) })
+		h.with(name, func(_ time.Time, l *ledger.Ledger) { l.MarkLeaving(address, start) })
 	}
 }
 
 // SawStart notes in every service a target's start number.
 func (h *Home) SawStart(address string, start uint64) {
 	for _, name := range h.Names() {
-		h.with(name, func(_ time.Time, l *ledger.Ledger) { l.SawStart(address, start) })
+		h.with(name, func(_ time.Time, l *ledger.Ledger) { l.ObserveStart(address, start) })
 	}
 }
 
 // Probed takes in a probe's result.
 func (h *Home) Probed(name, address string, o ledger.Outcome) {
-	h.with(name, func(now time.Time, l *ledger.Ledger) { l.Probed(now, address, o) })
+	h.with(name, func(now time.Time, l *ledger.Ledger) { l.RecordProbe(now, address, o) })
 }
 
 // LeavingStart gives the start number of a target that is known to leave.
@@ -237,7 +237,7 @@
 	out := map[string]uint64{}
 	for _, name := range h.Names() {
 		h.with(name, func(_ time.Time, l *ledger.Ledger) {
-			for address, start := range l.Leaving() {
+			for address, start := range l.LeavingTargets() {
 				out[address] = max(out[address], start)
 			}
 		})
@@ -252,7 +252,7 @@
 	next = tickIdle
 	for _, name := range h.Names() {
 		h.with(name, func(now time.Time, l *ledger.Ledger) {
-			l.Observe(now, self)
+			l.MarkSeen(now, self)
 			l.Tick(now, vanishedAfter)
 			if l.QueueLen() > 0 {
 				next = tickWaiting
@@ -272,7 +272,7 @@
 	h.closedBut = self
 	h.mu.Unlock()
 	for _, name := range h.Names() {
-		h.with(name, func(now time.Time, l *ledger.Ledger) { l.MoveOthers(now, self) })
+		h.with(name, func(now time.Time, l *ledger.Ledger) { l.RefuseOthers(now, self) })
 	}
 }
 
