--- a/core/box/ledger/choose.go
+++ b/core/box/ledger/choose.go
@@ -12,15 +12,15 @@
 	slowPenalty = 0.2
 	// overdueRatio is how many usual durations make a running request overdue.
 	overdueRatio = 4
-	// overdueLeast keeps jitter of short kinds from counting as overdue.
-	overdueLeast = 20 * time.Millisecond
-	// ejectedShare is the greatest part of a service that is ejected.
-	ejectedShare = 3
+	// minOverdue keeps jitter of short kinds from counting as overdue.
+	minOverdue = 20 * time.Millisecond
+	// ejectedDivisor is the greatest part of a service that is ejected.
+	ejectedDivisor = 3
 )
 
-// choose finds the best target with a free slot, or nil.
-func (l *Ledger) choose(now time.Time, a SlotRequest) *target {
-	trust := l.trust(now)
+// chooseTarget finds the best target with a free slot, or nil.
+func (l *Ledger) chooseTarget(now time.Time, a SlotRequest) *target {
+	trust := l.healthPolicy(now)
 	var best *target
 	var bestScore float64
 	for _, address := range l.order {
@@ -53,21 +53,21 @@
 	return s + 0.01*l.options.Random()
 }
 
-// trust says how far the signals of health are believed.
-type trust struct {
-	// none spreads the load over all targets: most of them look bad.
-	none bool
-	// unreachable tries even targets that cannot be reached: there are no others.
-	unreachable bool
-	// ejectedAfter is the first end of an ejection that is honoured, so that
+// healthPolicy says how far the signals of health are believed.
+type healthPolicy struct {
+	// ignoreHealth spreads the load over all targets: most of them look bad.
+	ignoreHealth bool
+	// tryUnreachable tries even targets that cannot be reached: there are no others.
+	tryUnreachable bool
+	// minEjectedUntil is the first end of an ejection that is honoured, so that
 	// at most a third of the service is ejected; the others get one slot.
-	ejectedAfter time.Time
+	minEjectedUntil time.Time
 }
 
-// trust weighs the signals of all targets against each other. Targets that
+// healthPolicy weighs the signals of all targets against each other. Targets that
 // cannot be reached stand outside: they are left alone as long as any other can
 // be reached, however many they are.
-func (l *Ledger) trust(now time.Time) trust {
+func (l *Ledger) healthPolicy(now time.Time) healthPolicy {
 	bad, present := 0, 0
 	var ejected []time.Time
 	for _, t := range l.targets {
@@ -83,26 +83,26 @@
 			bad++
 		}
 	}
-	allowed := max(present/ejectedShare, 1)
+	allowed := max(present/ejectedDivisor, 1)
 	if present == 0 || bad > 1 && bad*2 > present {
-		return trust{none: true, unreachable: present == 0}
+		return healthPolicy{ignoreHealth: true, tryUnreachable: present == 0}
 	}
 	if len(ejected) <= allowed {
-		return trust{}
+		return healthPolicy{}
 	}
 	slices.SortFunc(ejected, func(a, b time.Time) int { return b.Compare(a) })
-	return trust{ejectedAfter: ejected[allowed-1]}
+	return healthPolicy{minEjectedUntil: ejected[allowed-1]}
 }
 
 // limit is how many requests the target may hold.
-func (t *target) limit(now time.Time, trust trust) int {
-	if t.tracker.Unreachable(now) && !trust.unreachable {
+func (t *target) limit(now time.Time, trust healthPolicy) int {
+	if t.tracker.Unreachable(now) && !trust.tryUnreachable {
 		return 0
 	}
-	if trust.none {
+	if trust.ignoreHealth {
 		return t.Slots
 	}
-	if t.tracker.Ejected(now) && t.tracker.EjectedUntil().Before(trust.ejectedAfter) {
+	if t.tracker.Ejected(now) && t.tracker.EjectedUntil().Before(trust.minEjectedUntil) {
 		return 1
 	}
 	limit := t.tracker.Limit(now)
@@ -116,7 +116,7 @@
 // usual: the first sign of a target that has slowed down or stopped.
 func (t *target) overdue(now time.Time) bool {
 	for _, g := range t.grants {
-		if now.Sub(g.grantedAt) > max(overdueRatio*g.expected, overdueLeast) {
+		if now.Sub(g.grantedAt) > max(overdueRatio*g.expected, minOverdue) {
 			return true
 		}
 	}
@@ -125,7 +125,7 @@
 
 // capacity is how many requests the targets may hold together.
 func (l *Ledger) capacity(now time.Time) int {
-	trust := l.trust(now)
+	trust := l.healthPolicy(now)
 	n := 0
 	for _, t := range l.targets {
 		if !t.leaving {
--- a/core/box/ledger/class.go
+++ b/core/box/ledger/class.go
@@ -4,48 +4,48 @@
 
 const (
 	rateWindow = 500 * time.Millisecond
-	// busyFor is how long a class must have waited without a break before its
+	// minBusyTime is how long a class must have waited without a break before its
 	// rate says how fast it is served; before that, it says how fast it comes.
-	busyFor = time.Second
+	minBusyTime = time.Second
 )
 
-// class measures how fast the queued asks of one weight are served.
-type class struct {
-	waiting   int
-	busySince time.Time
-	window    time.Time
-	served    int
-	rate      float64 // asks a second, smoothed; 0 when unknown
+// weightClass measures how fast the queued asks of one weight are served.
+type weightClass struct {
+	queued      int
+	busySince   time.Time
+	windowStart time.Time
+	served      int
+	rate        float64 // asks a second, smoothed; 0 when unknown
 }
 
-func (c *class) join(now time.Time) {
-	if c.waiting == 0 {
+func (c *weightClass) join(now time.Time) {
+	if c.queued == 0 {
 		c.busySince = now
-		c.window = now
+		c.windowStart = now
 		c.served = 0
 		c.rate = 0
 	}
-	c.waiting++
+	c.queued++
 }
 
 // leave notes that an ask waits no more; granted says whether it was served.
-func (c *class) leave(now time.Time, granted bool) {
-	c.waiting--
+func (c *weightClass) leave(now time.Time, granted bool) {
+	c.queued--
 	if granted {
 		c.served++
 	}
-	if took := now.Sub(c.window); took >= rateWindow {
-		c.rate = smooth(c.rate, float64(c.served)/took.Seconds())
-		c.window = now
+	if took := now.Sub(c.windowStart); took >= rateWindow {
+		c.rate = ewma(c.rate, float64(c.served)/took.Seconds())
+		c.windowStart = now
 		c.served = 0
 	}
 }
 
-// wait is how long the class takes to serve those that wait and one more; 0
+// predictWait is how long the class takes to serve those that predictWait and one more; 0
 // when too little is known.
-func (c *class) wait(now time.Time) time.Duration {
-	if c.waiting == 0 || c.rate == 0 || now.Sub(c.busySince) < busyFor {
+func (c *weightClass) predictWait(now time.Time) time.Duration {
+	if c.queued == 0 || c.rate == 0 || now.Sub(c.busySince) < minBusyTime {
 		return 0
 	}
-	return time.Duration(float64(c.waiting+1) / c.rate * float64(time.Second))
+	return time.Duration(float64(c.queued+1) / c.rate * float64(time.Second))
 }
--- a/core/box/ledger/ledger.go
+++ b/core/box/ledger/ledger.go
@@ -137,7 +137,7 @@
 	grants      map[string]*grant
 	lastSeen    map[string]time.Time
 	queue       *queue
-	kinds       map[string]*kindTimes
+	kinds       map[string]*kindDurations
 	meanSeconds float64 // smoothed duration of all kinds, in seconds
 	decisions   []QueueDecision
 }
@@ -153,7 +153,7 @@
 		grants:   map[string]*grant{},
 		lastSeen: map[string]time.Time{},
 		queue:    newQueue(),
-		kinds:    map[string]*kindTimes{},
+		kinds:    map[string]*kindDurations{},
 	}
 }
 
@@ -183,24 +183,24 @@
 func (l *Ledger) Acquire(now time.Time, a SlotRequest) Decision {
 	l.lastSeen[a.Box] = now
 	if l.queue.len() == 0 || a.SpareOnly {
-		if t := l.choose(now, a); t != nil {
+		if t := l.chooseTarget(now, a); t != nil {
 			return l.grant(now, a, t)
 		}
 	}
 	if a.SpareOnly {
 		return Decision{State: Refused, Reason: verdict.ReasonNoTarget}
 	}
-	if d, refused := l.refuse(now, a); refused {
+	if d, refused := l.refuseEarly(now, a); refused {
 		return d
 	}
-	l.queue.add(&waiting{ask: a, since: now, until: l.latestStart(now, a)})
+	l.queue.add(&queuedRequest{request: a, queuedAt: now, expires: l.latestStart(now, a)})
 	l.serveQueue(now)
 	return Decision{State: Queued}
 }
 
 // latestStart is the last moment at which a start would still be of use.
 func (l *Ledger) latestStart(now time.Time, a SlotRequest) time.Time {
-	latest := a.Deadline.Add(-l.usual(a.Kind, a.Usual))
+	latest := a.Deadline.Add(-l.expectedDuration(a.Kind, a.Usual))
 	if byWait := now.Add(a.LongestWait); byWait.Before(latest) {
 		return byWait
 	}
@@ -210,7 +210,7 @@
 func (l *Ledger) grant(now time.Time, a SlotRequest, t *target) Decision {
 	g := &grant{
 		id: a.ID, box: a.Box, target: t, kind: a.Kind, grantedAt: now,
-		expected: l.usual(a.Kind, a.Usual),
+		expected: l.expectedDuration(a.Kind, a.Usual),
 		expires:  a.Deadline.Add(expiryMargin),
 	}
 	l.grants[a.ID] = g
@@ -221,7 +221,7 @@
 
 // Release takes a slot back with its outcome and serves the queue.
 func (l *Ledger) Release(now time.Time, id string, o Outcome) {
-	if l.queue.remove(now, id) { // the box gave up while it waited
+	if l.queue.removeByID(now, id) { // the box gave up while it waited
 		return
 	}
 	g, ok := l.grants[id]
@@ -236,11 +236,11 @@
 
 func (l *Ledger) recordOutcome(now time.Time, g *grant, o Outcome) {
 	g.target.observeOutcome(o)
-	g.target.tracker.Observe(now, o.Result, o.Took, l.usual(g.kind, g.expected))
+	g.target.tracker.Observe(now, o.Result, o.Took, l.expectedDuration(g.kind, g.expected))
 	g.target.tracker.BackOff(now, o.BackOff)
 	if o.Result == health.OK {
-		l.times(g.kind).add(now, o.Took)
-		l.meanSeconds = smooth(l.meanSeconds, o.Took.Seconds())
+		l.durations(g.kind).add(now, o.Took)
+		l.meanSeconds = ewma(l.meanSeconds, o.Took.Seconds())
 	}
 }
 
@@ -252,8 +252,8 @@
 // Tick ends waits that ran out, takes back what vanished boxes held for longer
 // than grace, and serves the queue.
 func (l *Ledger) Tick(now time.Time, grace time.Duration) {
-	for _, w := range l.queue.expired(now) {
-		l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonTooLate, RetryAfter: l.drain()})
+	for _, w := range l.queue.removeExpired(now) {
+		l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonTooLate, RetryAfter: l.drainTime()})
 	}
 	for _, g := range l.grants {
 		if now.Sub(l.lastSeen[g.box]) > grace || now.After(g.expires) {
@@ -266,7 +266,7 @@
 // RefuseOthers refuses what waits for other boxes than self, since another box
 // is the home now.
 func (l *Ledger) RefuseOthers(now time.Time, self string) {
-	for _, w := range l.queue.notOf(now, self) {
+	for _, w := range l.queue.removeOthers(now, self) {
 		l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonMoved})
 	}
 }
@@ -278,21 +278,21 @@
 	return out
 }
 
-func (l *Ledger) addDecision(now time.Time, w *waiting, d Decision) {
-	l.decisions = append(l.decisions, QueueDecision{Request: w.ask, Decision: d, Waited: now.Sub(w.since)})
+func (l *Ledger) addDecision(now time.Time, w *queuedRequest, d Decision) {
+	l.decisions = append(l.decisions, QueueDecision{Request: w.request, Decision: d, Waited: now.Sub(w.queuedAt)})
 }
 
 // serveQueue grants free slots to queued asks.
 func (l *Ledger) serveQueue(now time.Time) {
-	for l.queue.len() > 0 && l.choose(now, SlotRequest{}) != nil {
-		w := l.queue.next(now)
+	for l.queue.len() > 0 && l.chooseTarget(now, SlotRequest{}) != nil {
+		w := l.queue.dequeue(now)
 		if w == nil {
 			return
 		}
-		t := l.choose(now, w.ask)
+		t := l.chooseTarget(now, w.request)
 		if t == nil { // every free target was tried before; any is better than none
-			t = l.choose(now, SlotRequest{Hall: w.ask.Hall})
+			t = l.chooseTarget(now, SlotRequest{Hall: w.request.Hall})
 		}
-		l.addDecision(now, w, l.grant(now, w.ask, t))
+		l.addDecision(now, w, l.grant(now, w.request, t))
 	}
 }
--- a/core/box/ledger/queue.go
+++ b/core/box/ledger/queue.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// ageingTurn gives every so-manieth grant to the request that has waited
+// ageingInterval gives every so-manieth grant to the request that has waited
 // longest, whatever its weight, so that nothing starves.
-const ageingTurn = 10
+const ageingInterval = 10
 
-// waiting is a queued ask.
-type waiting struct {
-	ask     SlotRequest
-	since   time.Time
-	until   time.Time // the wait ends here
-	order   int       // of arrival
-	removed bool
+// queuedRequest is a queued ask.
+type queuedRequest struct {
+	request  SlotRequest
+	queuedAt time.Time
+	expires  time.Time // the wait ends here
+	seq      int       // of arrival
+	removed  bool
 }
 
-// before says whether w is served before other of the same weight.
-func (w *waiting) before(other *waiting) bool {
-	if w.ask.Deadline.Equal(other.ask.Deadline) {
-		return w.order < other.order
+// servedBefore says whether w is served servedBefore other of the same weight.
+func (w *queuedRequest) servedBefore(other *queuedRequest) bool {
+	if w.request.Deadline.Equal(other.request.Deadline) {
+		return w.seq < other.seq
 	}
-	return w.ask.Deadline.Before(other.ask.Deadline)
+	return w.request.Deadline.Before(other.request.Deadline)
 }
 
-// waitHeap orders the asks of one weight by deadline.
-type waitHeap []*waiting
+// deadlineHeap orders the asks of one weight by deadline.
+type deadlineHeap []*queuedRequest
 
-func (h waitHeap) Len() int           { return len(h) }
-func (h waitHeap) Less(i, j int) bool { return h[i].before(h[j]) }
-func (h waitHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].servedBefore(h[j]) }
+func (h deadlineHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *waitHeap) Push(x any) { *h = append(*h, x.(*waiting)) }
+func (h *deadlineHeap) Push(x any) { *h = append(*h, x.(*queuedRequest)) }
 
 // Pop implements heap.Interface.
-func (h *waitHeap) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -47,35 +47,35 @@
 // queue holds the waiting asks of a service: greatest weight first, then the
 // earliest deadline; every ageingTurn-th turn goes to the longest wait.
 type queue struct {
-	weights []int // in falling order
-	byClass map[int]*waitHeap
-	arrival []*waiting // in order of arrival
-	byID    map[string]*waiting
-	classes map[int]*class // by weight
-	turn    int
-	arrived int
+	weights  []int // in falling order
+	heaps    map[int]*deadlineHeap
+	arrivals []*queuedRequest // in order of arrival
+	byID     map[string]*queuedRequest
+	classes  map[int]*weightClass // by weight
+	turns    int
+	lastSeq  int
 }
 
 func newQueue() *queue {
-	return &queue{byClass: map[int]*waitHeap{}, byID: map[string]*waiting{}, classes: map[int]*class{}}
+	return &queue{heaps: map[int]*deadlineHeap{}, byID: map[string]*queuedRequest{}, classes: map[int]*weightClass{}}
 }
 
 func (q *queue) len() int { return len(q.byID) }
 
-func (q *queue) add(w *waiting) {
-	h, ok := q.byClass[w.ask.Weight]
+func (q *queue) add(w *queuedRequest) {
+	h, ok := q.heaps[w.request.Weight]
 	if !ok {
-		h = &waitHeap{}
-		q.byClass[w.ask.Weight] = h
-		q.classes[w.ask.Weight] = &class{}
-		q.insertWeight(w.ask.Weight)
+		h = &deadlineHeap{}
+		q.heaps[w.request.Weight] = h
+		q.classes[w.request.Weight] = &weightClass{}
+		q.insertWeight(w.request.Weight)
 	}
-	q.arrived++
-	w.order = q.arrived
-	q.classes[w.ask.Weight].join(w.since)
+	q.lastSeq++
+	w.seq = q.lastSeq
+	q.classes[w.request.Weight].join(w.queuedAt)
 	heap.Push(h, w)
-	q.arrival = append(q.arrival, w)
-	q.byID[w.ask.ID] = w
+	q.arrivals = append(q.arrivals, w)
+	q.byID[w.request.ID] = w
 }
 
 func (q *queue) insertWeight(weight int) {
@@ -88,48 +88,48 @@
 	q.weights[at] = weight
 }
 
-// ahead counts the asks that go before one of the given weight and deadline.
-func (q *queue) ahead(weight int, deadline time.Time) int {
+// countAhead counts the asks that go before one of the given weight and deadline.
+func (q *queue) countAhead(weight int, deadline time.Time) int {
 	n := 0
 	for _, w := range q.byID {
-		if w.ask.Weight > weight || w.ask.Weight == weight && !w.ask.Deadline.After(deadline) {
+		if w.request.Weight > weight || w.request.Weight == weight && !w.request.Deadline.After(deadline) {
 			n++
 		}
 	}
 	return n
 }
 
-// classWait is how long the class of a weight takes to serve one more.
-func (q *queue) classWait(now time.Time, weight int) time.Duration {
+// predictClassWait is how long the class of a weight takes to serve one more.
+func (q *queue) predictClassWait(now time.Time, weight int) time.Duration {
 	if c, ok := q.classes[weight]; ok {
-		return c.wait(now)
+		return c.predictWait(now)
 	}
 	return 0
 }
 
-// next takes the ask whose turn it is, to be granted.
-func (q *queue) next(now time.Time) *waiting {
-	w := q.turnOf()
+// dequeue takes the ask whose turn it is, to be granted.
+func (q *queue) dequeue(now time.Time) *queuedRequest {
+	w := q.pop()
 	if w != nil {
-		q.classes[w.ask.Weight].leave(now, true)
+		q.classes[w.request.Weight].leave(now, true)
 	}
 	return w
 }
 
-func (q *queue) turnOf() *waiting {
+func (q *queue) pop() *queuedRequest {
 	if q.len() == 0 {
 		return nil
 	}
-	q.turn++
-	if q.turn%ageingTurn == 0 {
-		return q.oldest()
+	q.turns++
+	if q.turns%ageingInterval == 0 {
+		return q.popOldest()
 	}
 	for _, weight := range q.weights {
-		h := q.byClass[weight]
+		h := q.heaps[weight]
 		for h.Len() > 0 {
-			w := heap.Pop(h).(*waiting)
+			w := heap.Pop(h).(*queuedRequest)
 			if !w.removed {
-				q.forget(w)
+				q.markRemoved(w)
 				return w
 			}
 		}
@@ -137,79 +137,79 @@
 	return nil
 }
 
-func (q *queue) oldest() *waiting {
-	q.trim()
-	w := q.arrival[0]
-	q.forget(w)
+func (q *queue) popOldest() *queuedRequest {
+	q.trimArrivals()
+	w := q.arrivals[0]
+	q.markRemoved(w)
 	return w
 }
 
-// trim drops removed asks from the front of the order of arrival.
-func (q *queue) trim() {
-	for len(q.arrival) > 0 && q.arrival[0].removed {
-		q.arrival = q.arrival[1:]
+// trimArrivals drops removed asks from the front of the order of arrival.
+func (q *queue) trimArrivals() {
+	for len(q.arrivals) > 0 && q.arrivals[0].removed {
+		q.arrivals = q.arrivals[1:]
 	}
 }
 
-// drop takes out an ask that was not granted.
-func (q *queue) drop(now time.Time, w *waiting) {
-	q.classes[w.ask.Weight].leave(now, false)
-	q.forget(w)
+// removeUngranted takes out an ask that was not granted.
+func (q *queue) removeUngranted(now time.Time, w *queuedRequest) {
+	q.classes[w.request.Weight].leave(now, false)
+	q.markRemoved(w)
 }
 
-// forget marks w as gone; the heaps drop it when they meet it.
-func (q *queue) forget(w *waiting) {
+// markRemoved marks w as gone; the heaps drop it when they meet it.
+func (q *queue) markRemoved(w *queuedRequest) {
 	w.removed = true
-	delete(q.byID, w.ask.ID)
-	q.trim()
+	delete(q.byID, w.request.ID)
+	q.trimArrivals()
 }
 
-// last takes out the ask that would be served last, if its weight is below the
+// evictLast takes out the ask that would be served evictLast, if its weight is below the
 // given one: it makes room for one that matters more.
-func (q *queue) last(now time.Time, below int) *waiting {
+func (q *queue) evictLast(now time.Time, below int) *queuedRequest {
 	for i := len(q.weights) - 1; i >= 0 && q.weights[i] < below; i-- {
-		var latest *waiting
-		for _, w := range *q.byClass[q.weights[i]] {
-			if !w.removed && (latest == nil || latest.before(w)) {
+		var latest *queuedRequest
+		for _, w := range *q.heaps[q.weights[i]] {
+			if !w.removed && (latest == nil || latest.servedBefore(w)) {
 				latest = w
 			}
 		}
 		if latest != nil {
-			q.drop(now, latest)
+			q.removeUngranted(now, latest)
 			return latest
 		}
 	}
 	return nil
 }
 
-// remove takes out the ask with this id, if it waits.
-func (q *queue) remove(now time.Time, id string) bool {
+// removeByID takes out the ask with this id, if it waits.
+func (q *queue) removeByID(now time.Time, id string) bool {
 	w, ok := q.byID[id]
 	if ok {
-		q.drop(now, w)
+		q.removeUngranted(now, w)
 	}
 	return ok
 }
 
-// expired takes out every ask whose wait has ended, in order of arrival.
-func (q *queue) expired(now time.Time) []*waiting {
-	return q.take(now, func(w *waiting) bool { return !now.Before(w.until) })
+// removeExpired takes out every ask whose wait has ended, in order of arrival.
+func (q *queue) removeExpired(now time.Time) []*queuedRequest {
+	return q.removeWhere(now, func(w *queuedRequest) bool { return !now.Before(w.expires) })
 }
 
-// notOf takes out the asks of all boxes but one, in order of arrival.
-func (q *queue) notOf(now time.Time, box string) []*waiting {
-	return q.take(now, func(w *waiting) bool { return w.ask.Box != box })
+// removeOthers takes out the asks of all boxes but one, in order of arrival.
+func (q *queue) removeOthers(now time.Time, box string) []*queuedRequest {
+	return q.removeWhere(now, func(w *queuedRequest) bool { return w.request.Box != box })
 }
 
-func (q *queue) take(now time.Time, chosen func(*waiting) bool) []*waiting {
-	var out []*waiting
-	for _, w := range q.arrival {
+func (q *queue) removeWhere(now time.Time, chosen func(*queuedRequest) bool) []*queuedRequest {
+	var out []*queuedRequest
+	for _, w := range q.arrivals {
 		if !w.removed && chosen(w) {
 			out = append(out, w)
 		}
 	}
 	for _, w := range out {
-		q.drop(now, w)
+		q.removeUngranted(now, w)
 	}
 	return out
 }
--- a/core/box/ledger/view.go
+++ b/core/box/ledger/view.go
@@ -28,7 +28,7 @@
 
 // View lists the targets in the order of the service definition.
 func (l *Ledger) View(now time.Time) []TargetView {
-	trust := l.trust(now)
+	trust := l.healthPolicy(now)
 	out := make([]TargetView, 0, len(l.order))
 	for _, address := range l.order {
 		t := l.targets[address]
