--- a/core/box/ledger/boxes.go
+++ b/core/box/ledger/boxes.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// MarkSeen notes that a box lives.
+// MarkSeen records that a box was in contact at now.
 func (l *Ledger) MarkSeen(now time.Time, box string) { l.lastSeen[box] = now }
 
-// Reconcile takes in all that a box says it holds of this service: promises
-// that it does not name are dropped once they are older than settle, since then
-// their answer or their return was lost. A promise that the ledger lacks is left
-// alone: its return may have come before the list.
+// Reconcile compares the grants of a box with the full list that it reports for
+// this service. A grant that the list lacks is removed once it is older than
+// settle, because either the decision or the release was lost. A listed grant
+// that the ledger lacks is ignored: its release may have arrived before the list.
 func (l *Ledger) Reconcile(now time.Time, box string, held []HeldGrant, settle time.Duration) {
 	l.lastSeen[box] = now
-	named := make(map[string]bool, len(held))
+	listed := make(map[string]bool, len(held))
 	for _, h := range held {
-		named[h.ID] = true
+		listed[h.ID] = true
 	}
 	for _, g := range l.grants {
-		if g.box == box && !named[g.id] && now.Sub(g.grantedAt) > settle {
+		if g.box == box && !listed[g.id] && now.Sub(g.grantedAt) > settle {
 			l.removeGrant(g)
 		}
 	}
 	l.serveQueue(now)
 }
 
-// Adopt takes in what a box holds that has not had this ledger's box as its
-// home before, so that those slots are not promised again.
+// Adopt adds the grants of a box for which this ledger's box has just become
+// the home, so that their slots are not granted a second time.
 func (l *Ledger) Adopt(now time.Time, box string, held []HeldGrant) {
 	l.lastSeen[box] = now
 	for _, h := range held {
--- a/core/box/ledger/choose.go
+++ b/core/box/ledger/choose.go
@@ -6,33 +6,37 @@
 )
 
 const (
-	// hallPenalty is what another hall costs, as a share of a full target.
+	// hallPenalty is the score added for a target in another hall, where 1 is
+	// the score of a fully utilized target.
 	hallPenalty = 0.1
-	// slowPenalty weighs how much slower than usual a target has been.
+	// slowPenalty is the score added for each multiple of the expected duration
+	// by which a target has been slower.
 	slowPenalty = 0.2
-	// overdueRatio is how many usual durations make a running request overdue.
+	// overdueRatio is the multiple of the expected duration after which a
+	// running request is overdue.
 	overdueRatio = 4
-	// minOverdue keeps jitter of short kinds from counting as overdue.
+	// minOverdue keeps jitter in kinds of short duration from counting as overdue.
 	minOverdue = 20 * time.Millisecond
-	// ejectedDivisor is the greatest part of a service that is ejected.
+	// ejectedDivisor limits ejection: at most 1/ejectedDivisor of the reachable
+	// targets of a service are ejected at once.
 	ejectedDivisor = 3
 )
 
-// chooseTarget finds the best target with a free slot, or nil.
-func (l *Ledger) chooseTarget(now time.Time, a SlotRequest) *target {
-	trust := l.healthPolicy(now)
+// chooseTarget returns the best target with a free slot, or nil if there is none.
+func (l *Ledger) chooseTarget(now time.Time, r SlotRequest) *target {
+	policy := l.healthPolicy(now)
 	var best *target
 	var bestScore float64
 	for _, address := range l.order {
 		t := l.targets[address]
-		if t.leaving || slices.Contains(a.Avoid, address) {
+		if t.leaving || slices.Contains(r.Avoid, address) {
 			continue
 		}
-		limit := t.limit(now, trust)
+		limit := t.limit(now, policy)
 		if len(t.grants) >= limit {
 			continue
 		}
-		score := l.score(now, t, a)
+		score := l.score(now, t, r)
 		if best == nil || score < bestScore {
 			best, bestScore = t, score
 		}
@@ -40,11 +44,11 @@
 	return best
 }
 
-// score is low for a good target: how full it is, how slow, how far.
-func (l *Ledger) score(now time.Time, t *target, a SlotRequest) float64 {
+// score rates a target by utilization, latency and distance; lower is better.
+func (l *Ledger) score(now time.Time, t *target, r SlotRequest) float64 {
 	s := float64(len(t.grants)) / float64(t.Slots)
 	s += slowPenalty * max(t.tracker.Ratio()-1, 0)
-	if a.Hall != t.Hall {
+	if r.Hall != t.Hall {
 		s += hallPenalty
 	}
 	if t.overdue(now) {
@@ -53,22 +57,24 @@
 	return s + 0.01*l.options.Random()
 }
 
-// healthPolicy says how far the signals of health are believed.
+// healthPolicy says to what extent the health signals of targets are applied.
 type healthPolicy struct {
-	// ignoreHealth spreads the load over all targets: most of them look bad.
+	// ignoreHealth spreads the load over all targets, because most of them
+	// look unhealthy.
 	ignoreHealth bool
-	// tryUnreachable tries even targets that cannot be reached: there are no others.
+	// tryUnreachable includes unreachable targets, because there are no others.
 	tryUnreachable bool
-	// minEjectedUntil is the first end of an ejection that is honoured, so that
-	// at most a third of the service is ejected; the others get one slot.
+	// minEjectedUntil is the earliest end of an ejection that is applied, so
+	// that at most a third of the service is ejected; targets whose ejection
+	// ends before get one slot.
 	minEjectedUntil time.Time
 }
 
-// healthPolicy weighs the signals of all targets against each other. Targets that
-// cannot be reached stand outside: they are left alone as long as any other can
-// be reached, however many they are.
+// healthPolicy derives the policy from the health signals of all targets.
+// Unreachable targets are not counted: however many they are, they are excluded
+// as long as any other target can be reached.
 func (l *Ledger) healthPolicy(now time.Time) healthPolicy {
-	bad, present := 0, 0
+	unhealthy, present := 0, 0
 	var ejected []time.Time
 	for _, t := range l.targets {
 		if t.leaving || t.tracker.Unreachable(now) {
@@ -77,14 +83,14 @@
 		present++
 		switch {
 		case t.tracker.Ejected(now):
-			bad++
+			unhealthy++
 			ejected = append(ejected, t.tracker.EjectedUntil())
 		case t.tracker.Suspect(now):
-			bad++
+			unhealthy++
 		}
 	}
 	allowed := max(present/ejectedDivisor, 1)
-	if present == 0 || bad > 1 && bad*2 > present {
+	if present == 0 || unhealthy > 1 && unhealthy*2 > present {
 		return healthPolicy{ignoreHealth: true, tryUnreachable: present == 0}
 	}
 	if len(ejected) <= allowed {
@@ -94,15 +100,15 @@
 	return healthPolicy{minEjectedUntil: ejected[allowed-1]}
 }
 
-// limit is how many requests the target may hold.
-func (t *target) limit(now time.Time, trust healthPolicy) int {
-	if t.tracker.Unreachable(now) && !trust.tryUnreachable {
+// limit is how many requests may be in flight at the target.
+func (t *target) limit(now time.Time, policy healthPolicy) int {
+	if t.tracker.Unreachable(now) && !policy.tryUnreachable {
 		return 0
 	}
-	if trust.ignoreHealth {
+	if policy.ignoreHealth {
 		return t.Slots
 	}
-	if t.tracker.Ejected(now) && t.tracker.EjectedUntil().Before(trust.minEjectedUntil) {
+	if t.tracker.Ejected(now) && t.tracker.EjectedUntil().Before(policy.minEjectedUntil) {
 		return 1
 	}
 	limit := t.tracker.Limit(now)
@@ -112,8 +118,8 @@
 	return limit
 }
 
-// overdue says whether a request has been at the target for much longer than
-// usual: the first sign of a target that has slowed down or stopped.
+// overdue reports whether a request has been in flight at the target for much
+// longer than expected, the first sign that the target has slowed down or stopped.
 func (t *target) overdue(now time.Time) bool {
 	for _, g := range t.grants {
 		if now.Sub(g.grantedAt) > max(overdueRatio*g.expected, minOverdue) {
@@ -123,13 +129,13 @@
 	return false
 }
 
-// capacity is how many requests the targets may hold together.
+// capacity is how many requests may be in flight at all targets together.
 func (l *Ledger) capacity(now time.Time) int {
-	trust := l.healthPolicy(now)
+	policy := l.healthPolicy(now)
 	n := 0
 	for _, t := range l.targets {
 		if !t.leaving {
-			n += t.limit(now, trust)
+			n += t.limit(now, policy)
 		}
 	}
 	return n
--- a/core/box/ledger/class.go
+++ b/core/box/ledger/class.go
@@ -4,18 +4,18 @@
 
 const (
 	rateWindow = 500 * time.Millisecond
-	// minBusyTime is how long a class must have waited without a break before its
-	// rate says how fast it is served; before that, it says how fast it comes.
+	// minBusyTime is how long the queue of a class must have been non-empty
+	// before its rate is a service rate; until then it is the arrival rate.
 	minBusyTime = time.Second
 )
 
-// weightClass measures how fast the queued asks of one weight are served.
+// weightClass measures how fast the queued requests of one weight are served.
 type weightClass struct {
 	queued      int
 	busySince   time.Time
 	windowStart time.Time
 	served      int
-	rate        float64 // asks a second, smoothed; 0 when unknown
+	rate        float64 // requests a second, smoothed; 0 when unknown
 }
 
 func (c *weightClass) join(now time.Time) {
@@ -28,21 +28,21 @@
 	c.queued++
 }
 
-// leave notes that an ask waits no more; granted says whether it was served.
+// leave records that a request left the queue; granted says whether it was served.
 func (c *weightClass) leave(now time.Time, granted bool) {
 	c.queued--
 	if granted {
 		c.served++
 	}
-	if took := now.Sub(c.windowStart); took >= rateWindow {
-		c.rate = ewma(c.rate, float64(c.served)/took.Seconds())
+	if elapsed := now.Sub(c.windowStart); elapsed >= rateWindow {
+		c.rate = ewma(c.rate, float64(c.served)/elapsed.Seconds())
 		c.windowStart = now
 		c.served = 0
 	}
 }
 
-// predictWait is how long the class takes to serve those that predictWait and one more; 0
-// when too little is known.
+// predictWait is how long the class takes to serve its queued requests and one
+// more; 0 when too little is known.
 func (c *weightClass) predictWait(now time.Time) time.Duration {
 	if c.queued == 0 || c.rate == 0 || now.Sub(c.busySince) < minBusyTime {
 		return 0
--- a/core/box/ledger/ledger.go
+++ b/core/box/ledger/ledger.go
@@ -1,22 +1,22 @@
-// Package ledger is the core of the home box of a service: it counts what every
-// target has been promised, queues what must wait, and refuses early what would
-// come too late. It reads no clock, does no I/O and takes no lock.
+// Package ledger is the core of the home box of a service: it grants the slots
+// of the targets, queues requests while no slot is free, and refuses early those
+// that would be served too late. It reads no clock, does no I/O and takes no lock.
 //
-// A promise counts from the moment it is made until the slot is returned or the
-// box that holds it has vanished. Two ledgers of one service may exist at once;
-// then targets are promised more than they have for a moment and shed.
+// A slot is in use from the moment it is granted until it is released or the box
+// that holds it is no longer seen. Two ledgers of one service may exist at once;
+// then targets are overcommitted for a moment and shed load.
 //
-// It owns the promises, the queue and the health of a service's targets at its home.
-// It relies on boxes to give slots back or to name what they hold, and on
-// core/box/health.
+// It owns the grants, the queue and the health of a service's targets at its home.
+// It relies on boxes to release slots or to report the grants that they hold,
+// and on core/box/health.
 //
 // # Usage
 //
 //	l := ledger.New(ledger.Options{MaxQueue: 2000, Random: rand.Float64})
 //	l.SetTargets(targets)
-//	d := l.Ask(now, ask)            // granted, queued or refused
-//	l.Return(now, grantID, outcome) // may free a slot for a queued ask
-//	for _, answer := range l.Answers() { ... }
+//	d := l.Acquire(now, request)     // granted, queued or refused
+//	l.Release(now, grantID, outcome) // may free a slot for a queued request
+//	for _, queued := range l.TakeQueueDecisions() { ... }
 package ledger
 
 import (
@@ -33,67 +33,69 @@
 	Slots   int
 }
 
-// SlotRequest is a request for a slot.
+// SlotRequest asks for a slot of any target of the service.
 type SlotRequest struct {
-	// ID is unique among all asks of all boxes; it names the grant, too.
+	// ID is unique among the requests of all boxes; it also identifies the grant.
 	ID   string
 	Box  string
 	Hall string
 	Kind string
-	// Weight orders the queue: a greater weight goes first.
+	// Weight orders the queue: a greater weight is served first.
 	Weight int
-	// Deadline is when the answer is no longer of use.
+	// Deadline is when the client no longer needs the answer.
 	Deadline time.Time
 	// LongestWait bounds the time in the queue.
 	LongestWait time.Duration
-	// Usual is the kind's service time to expect before any was measured.
+	// Usual is the expected duration of the kind until one has been measured.
 	Usual time.Duration
-	// Avoid lists targets that the request has tried.
+	// Avoid lists targets that the request was already sent to.
 	Avoid []string
-	// SpareOnly asks for a free slot or none, as hedges do.
+	// SpareOnly refuses the request if no slot is free, instead of queueing it;
+	// hedges set it.
 	SpareOnly bool
 }
 
-// State is the answer to an ask.
+// State is how a request for a slot was decided.
 type State string
 
-// The answers to an ask.
+// The decisions on a request for a slot.
 const (
 	Granted State = "granted"
 	Queued  State = "queued"
 	Refused State = "refused"
 )
 
-// Decision answers an ask.
+// Decision is the result of a request for a slot.
 type Decision struct {
 	State  State
 	Target string
-	// HedgeAfter is the kind's p95 so far; 0 when too little is known.
+	// HedgeAfter is the p95 of the kind's recent durations; 0 when too few
+	// were measured.
 	HedgeAfter time.Duration
 	Reason     verdict.Reason
 	RetryAfter time.Duration
 }
 
-// QueueDecision is a late decision for a queued ask.
+// QueueDecision is the later decision on a request that was queued.
 type QueueDecision struct {
 	Request  SlotRequest
 	Decision Decision
 	Waited   time.Duration
 }
 
-// Outcome is what a box reports with a returned slot.
+// Outcome is what a box reports with a released slot.
 type Outcome struct {
 	Result health.Result
 	Took   time.Duration
 	// Start is the target's start number, 0 when unknown.
 	Start uint64
-	// Leaving is the target's own word that it takes no new work.
+	// Leaving is whether the target advertised that it accepts no new requests.
 	Leaving bool
-	// BackOff is for how long the target asks to be sent nothing; 0 for not.
+	// BackOff is how long the target asked not to be sent requests; 0 for none.
 	BackOff time.Duration
 }
 
-// HeldGrant is a promise that a box says it holds.
+// HeldGrant is a grant that a box reports to hold.
 type HeldGrant struct {
 	ID     string
 	Target string
@@ -105,7 +107,7 @@
 // Options configure a Ledger.
 type Options struct {
 	MaxQueue int
-	// Random gives numbers in [0, 1) for ties and jitter; tests seed it.
+	// Random returns numbers in [0, 1) to break ties and for jitter; tests seed it.
 	Random func() float64
 }
 
@@ -116,20 +118,20 @@
 	kind      string
 	grantedAt time.Time
 	expected  time.Duration
-	expires   time.Time // taken back then, whatever happened
+	expires   time.Time // removed then in any case
 }
 
 type target struct {
 	Target
 	tracker      *health.Tracker
 	grants       map[string]*grant
-	start        uint64 // greatest start number seen
-	leavingStart uint64 // start number that is leaving
+	start        uint64 // greatest start number observed
+	leavingStart uint64 // greatest start number known to be leaving
 	leaving      bool
 	lastContact  time.Time
 }
 
-// Ledger is the home's book of one service.
+// Ledger holds the grants, the queue and the targets of one service at its home.
 type Ledger struct {
 	options     Options
 	targets     map[string]*target
@@ -142,10 +144,10 @@
 	decisions   []QueueDecision
 }
 
-// expiryMargin is how long a grant may outlive its deadline.
+// expiryMargin is how long after its deadline a grant is removed.
 const expiryMargin = 30 * time.Second
 
-// New makes an empty ledger.
+// New returns an empty ledger.
 func New(o Options) *Ledger {
 	return &Ledger{
 		options:  o,
@@ -157,8 +159,8 @@
 	}
 }
 
-// SetTargets takes over the targets of a service definition. What is known of
-// a target that stays is kept.
+// SetTargets replaces the targets by those of a service definition. The state of
+// a target that remains is kept.
 func (l *Ledger) SetTargets(now time.Time, targets []Target) {
 	next := make(map[string]*target, len(targets))
 	l.order = l.order[:0]
@@ -176,52 +178,53 @@
 	l.serveQueue(now)
 }
 
-// SetMaxQueue changes how many asks may wait.
+// SetMaxQueue changes how many requests may be queued.
 func (l *Ledger) SetMaxQueue(n int) { l.options.MaxQueue = n }
 
-// Acquire decides about a request: granted, queued or refused.
-func (l *Ledger) Acquire(now time.Time, a SlotRequest) Decision {
-	l.lastSeen[a.Box] = now
-	if l.queue.len() == 0 || a.SpareOnly {
-		if t := l.chooseTarget(now, a); t != nil {
-			return l.grant(now, a, t)
+// Acquire grants, queues or refuses a request for a slot.
+func (l *Ledger) Acquire(now time.Time, r SlotRequest) Decision {
+	l.lastSeen[r.Box] = now
+	if l.queue.len() == 0 || r.SpareOnly {
+		if t := l.chooseTarget(now, r); t != nil {
+			return l.grant(now, r, t)
 		}
 	}
-	if a.SpareOnly {
+	if r.SpareOnly {
 		return Decision{State: Refused, Reason: verdict.ReasonNoTarget}
 	}
-	if d, refused := l.refuseEarly(now, a); refused {
+	if d, refused := l.refuseEarly(now, r); refused {
 		return d
 	}
-	l.queue.add(&queuedRequest{request: a, queuedAt: now, expires: l.latestStart(now, a)})
+	l.queue.add(&queuedRequest{request: r, queuedAt: now, expires: l.latestStart(now, r)})
 	l.serveQueue(now)
 	return Decision{State: Queued}
 }
 
-// latestStart is the last moment at which a start would still be of use.
-func (l *Ledger) latestStart(now time.Time, a SlotRequest) time.Time {
-	latest := a.Deadline.Add(-l.expectedDuration(a.Kind, a.Usual))
-	if byWait := now.Add(a.LongestWait); byWait.Before(latest) {
+// latestStart is the last moment at which the request can be granted a slot and
+// still be expected to end by its deadline, within its longest wait.
+func (l *Ledger) latestStart(now time.Time, r SlotRequest) time.Time {
+	latest := r.Deadline.Add(-l.expectedDuration(r.Kind, r.Usual))
+	if byWait := now.Add(r.LongestWait); byWait.Before(latest) {
 		return byWait
 	}
 	return latest
 }
 
-func (l *Ledger) grant(now time.Time, a SlotRequest, t *target) Decision {
+func (l *Ledger) grant(now time.Time, r SlotRequest, t *target) Decision {
 	g := &grant{
-		id: a.ID, box: a.Box, target: t, kind: a.Kind, grantedAt: now,
-		expected: l.expectedDuration(a.Kind, a.Usual),
-		expires:  a.Deadline.Add(expiryMargin),
+		id: r.ID, box: r.Box, target: t, kind: r.Kind, grantedAt: now,
+		expected: l.expectedDuration(r.Kind, r.Usual),
+		expires:  r.Deadline.Add(expiryMargin),
 	}
-	l.grants[a.ID] = g
-	t.grants[a.ID] = g
+	l.grants[r.ID] = g
+	t.grants[r.ID] = g
 	t.lastContact = now
-	return Decision{State: Granted, Target: t.Address, HedgeAfter: l.hedgeAfter(a.Kind)}
+	return Decision{State: Granted, Target: t.Address, HedgeAfter: l.hedgeAfter(r.Kind)}
 }
 
-// Release takes a slot back with its outcome and serves the queue.
+// Release frees a slot, records its outcome and serves the queue.
 func (l *Ledger) Release(now time.Time, id string, o Outcome) {
-	if l.queue.removeByID(now, id) { // the box gave up while it waited
+	if l.queue.removeByID(now, id) { // the box abandoned a request that was still queued
 		return
 	}
 	g, ok := l.grants[id]
@@ -249,8 +252,8 @@
 	delete(g.target.grants, g.id)
 }
 
-// Tick ends waits that ran out, takes back what vanished boxes held for longer
-// than grace, and serves the queue.
+// Tick refuses queued requests that have expired, removes the grants of boxes
+// that were not seen for longer than grace, and serves the queue.
 func (l *Ledger) Tick(now time.Time, grace time.Duration) {
 	for _, w := range l.queue.removeExpired(now) {
 		l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonTooLate, RetryAfter: l.drainTime()})
@@ -263,15 +266,16 @@
 	l.serveQueue(now)
 }
 
-// RefuseOthers refuses what waits for other boxes than self, since another box
-// is the home now.
+// RefuseOthers refuses the queued requests of all boxes but self, because
+// another box has become the home.
 func (l *Ledger) RefuseOthers(now time.Time, self string) {
 	for _, w := range l.queue.removeOthers(now, self) {
 		l.addDecision(now, w, Decision{State: Refused, Reason: verdict.ReasonMoved})
 	}
 }
 
-// TakeQueueDecisions hands out the late decisions made since the last call.
+// TakeQueueDecisions returns the decisions on queued requests made since the
+// last call.
 func (l *Ledger) TakeQueueDecisions() []QueueDecision {
 	out := l.decisions
 	l.decisions = nil
@@ -282,7 +286,7 @@
 	l.decisions = append(l.decisions, QueueDecision{Request: w.request, Decision: d, Waited: now.Sub(w.queuedAt)})
 }
 
-// serveQueue grants free slots to queued asks.
+// serveQueue grants free slots to queued requests.
 func (l *Ledger) serveQueue(now time.Time) {
 	for l.queue.len() > 0 && l.chooseTarget(now, SlotRequest{}) != nil {
 		w := l.queue.dequeue(now)
@@ -290,7 +294,7 @@
 			return
 		}
 		t := l.chooseTarget(now, w.request)
-		if t == nil { // every free target was tried before; any is better than none
+		if t == nil { // the request was already sent to every free target; repeat one rather than none
 			t = l.chooseTarget(now, SlotRequest{Hall: w.request.Hall})
 		}
 		l.addDecision(now, w, l.grant(now, w.request, t))
--- a/core/box/ledger/predict.go
+++ b/core/box/ledger/predict.go
@@ -17,7 +17,8 @@
 	noTargetRetryAfter = time.Second
 )
 
-// kindDurations holds the durations of one kind over the last one to two windows.
+// kindDurations holds the request durations of one kind over the last one to two
+// windows.
 type kindDurations struct {
 	mean     float64 // smoothed, in seconds
 	recent   *hdrhistogram.Histogram
@@ -59,15 +60,15 @@
 	return mean + smoothingFactor*(sample-mean)
 }
 
-// expectedDuration is the mean duration of a kind, or the given one before any is known.
-func (l *Ledger) expectedDuration(kind string, unknown time.Duration) time.Duration {
+// expectedDuration is the mean duration of a kind, or fallback until one was measured.
+func (l *Ledger) expectedDuration(kind string, fallback time.Duration) time.Duration {
 	if k, ok := l.kinds[kind]; ok && k.mean > 0 {
 		return time.Duration(k.mean * float64(time.Second))
 	}
-	return unknown
+	return fallback
 }
 
-// hedgeAfter is the kind's p95, or 0 when too little is known.
+// hedgeAfter is the kind's p95, or 0 when too few durations were measured.
 func (l *Ledger) hedgeAfter(kind string) time.Duration {
 	if k, ok := l.kinds[kind]; ok {
 		return k.p95
@@ -75,29 +76,29 @@
 	return 0
 }
 
-// refuseEarly decides whether to refuseEarly an ask at once instead of queueing it.
-func (l *Ledger) refuseEarly(now time.Time, a SlotRequest) (Decision, bool) {
-	refused := func(r verdict.Reason, after time.Duration) (Decision, bool) {
-		return Decision{State: Refused, Reason: r, RetryAfter: l.jitter(after)}, true
+// refuseEarly decides whether to refuse a request at once instead of queueing it.
+func (l *Ledger) refuseEarly(now time.Time, r SlotRequest) (Decision, bool) {
+	refused := func(reason verdict.Reason, after time.Duration) (Decision, bool) {
+		return Decision{State: Refused, Reason: reason, RetryAfter: l.jitter(after)}, true
 	}
 	capacity := l.capacity(now)
 	present := l.targetsPresent()
 	switch {
 	case present == 0:
 		return refused(verdict.ReasonNoTarget, noTargetRetryAfter)
-	case l.queue.len() >= l.options.MaxQueue && !l.evictLighter(now, a.Weight):
+	case l.queue.len() >= l.options.MaxQueue && !l.evictLighter(now, r.Weight):
 		return refused(verdict.ReasonQueueFull, l.drainTime())
 	}
-	wait := l.predictWait(l.queue.countAhead(a.Weight, a.Deadline)+1, max(capacity, 1))
-	wait = max(wait, l.queue.predictClassWait(now, a.Weight))
-	if now.Add(wait).After(l.latestStart(now, a)) {
+	wait := l.predictWait(l.queue.countAhead(r.Weight, r.Deadline)+1, max(capacity, 1))
+	wait = max(wait, l.queue.predictClassWait(now, r.Weight))
+	if now.Add(wait).After(l.latestStart(now, r)) {
 		return refused(verdict.ReasonTooLate, wait)
 	}
 	return Decision{}, false
 }
 
-// evictLighter refuses the ask that would be served last, if it weighs less than
-// the new one.
+// evictLighter refuses the queued request that would be served last if its weight
+// is below the given one, and reports whether it did.
 func (l *Ledger) evictLighter(now time.Time, weight int) bool {
 	w := l.queue.evictLast(now, weight)
 	if w == nil {
@@ -117,12 +118,12 @@
 	return n
 }
 
-// predictWait is the wait until the n-th next slot is free.
+// predictWait is the time until n slots have become free.
 func (l *Ledger) predictWait(n, capacity int) time.Duration {
 	return time.Duration(float64(n) * l.meanSeconds / float64(capacity) * float64(time.Second))
 }
 
-// drainTime is how long the queue takes to empty.
+// drainTime is how long the queue takes to drain.
 func (l *Ledger) drainTime() time.Duration {
 	slots := 0
 	for _, t := range l.targets {
@@ -131,8 +132,8 @@
 	return l.predictWait(l.queue.len()+1, max(slots, 1))
 }
 
-// jitter spreads a time to come back over half again, so that refused clients
-// do not return together.
+// jitter extends a retry delay by up to half at random, so that refused clients
+// do not retry at the same time.
 func (l *Ledger) jitter(d time.Duration) time.Duration {
 	d = max(d, minRetryAfter)
 	return d + time.Duration(l.options.Random()*float64(d)/2)
--- a/core/box/ledger/queue.go
+++ b/core/box/ledger/queue.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// ageingInterval gives every so-manieth grant to the request that has waited
-// longest, whatever its weight, so that nothing starves.
+// ageingInterval is how often a grant ignores the weight: one in ageingInterval
+// goes to the request that was queued first, so that no request starves.
 const ageingInterval = 10
 
-// queuedRequest is a queued ask.
+// queuedRequest is a request for a slot in the queue.
 type queuedRequest struct {
 	request  SlotRequest
 	queuedAt time.Time
-	expires  time.Time // the wait ends here
+	expires  time.Time // refused if still queued then
 	seq      int       // of arrival
 	removed  bool
 }
 
-// servedBefore says whether w is served servedBefore other of the same weight.
+// servedBefore reports whether w is served before other of the same weight.
 func (w *queuedRequest) servedBefore(other *queuedRequest) bool {
 	if w.request.Deadline.Equal(other.request.Deadline) {
 		return w.seq < other.seq
@@ -26,7 +26,7 @@
 	return w.request.Deadline.Before(other.request.Deadline)
 }
 
-// deadlineHeap orders the asks of one weight by deadline.
+// deadlineHeap orders the requests of one weight by deadline.
 type deadlineHeap []*queuedRequest
 
 func (h deadlineHeap) Len() int           { return len(h) }
@@ -44,10 +44,10 @@
 	return last
 }
 
-// queue holds the waiting asks of a service: greatest weight first, then the
-// earliest deadline; every ageingTurn-th turn goes to the longest wait.
+// queue holds the queued requests of a service: greatest weight first, then the
+// earliest deadline; every ageingInterval-th turn goes to the longest wait.
 type queue struct {
-	weights  []int // in falling order
+	weights  []int // in descending order
 	heaps    map[int]*deadlineHeap
 	arrivals []*queuedRequest // in order of arrival
 	byID     map[string]*queuedRequest
@@ -88,7 +88,8 @@
 	q.weights[at] = weight
 }
 
-// countAhead counts the asks that go before one of the given weight and deadline.
+// countAhead counts the requests that are served before one of the given weight
+// and deadline.
 func (q *queue) countAhead(weight int, deadline time.Time) int {
 	n := 0
 	for _, w := range q.byID {
@@ -99,7 +100,7 @@
 	return n
 }
 
-// predictClassWait is how long the class of a weight takes to serve one more.
+// predictClassWait is how long the class of a weight takes to serve one more request.
 func (q *queue) predictClassWait(now time.Time, weight int) time.Duration {
 	if c, ok := q.classes[weight]; ok {
 		return c.predictWait(now)
@@ -107,7 +108,7 @@
 	return 0
 }
 
-// dequeue takes the ask whose turn it is, to be granted.
+// dequeue removes the next request, which is then granted, or returns nil.
 func (q *queue) dequeue(now time.Time) *queuedRequest {
 	w := q.pop()
 	if w != nil {
@@ -144,28 +145,28 @@
 	return w
 }
 
-// trimArrivals drops removed asks from the front of the order of arrival.
+// trimArrivals drops removed requests from the front of the arrival order.
 func (q *queue) trimArrivals() {
 	for len(q.arrivals) > 0 && q.arrivals[0].removed {
 		q.arrivals = q.arrivals[1:]
 	}
 }
 
-// removeUngranted takes out an ask that was not granted.
+// removeUngranted removes a request that is not granted.
 func (q *queue) removeUngranted(now time.Time, w *queuedRequest) {
 	q.classes[w.request.Weight].leave(now, false)
 	q.markRemoved(w)
 }
 
-// markRemoved marks w as gone; the heaps drop it when they meet it.
+// markRemoved marks w as removed; the heaps drop it once it reaches the top.
 func (q *queue) markRemoved(w *queuedRequest) {
 	w.removed = true
 	delete(q.byID, w.request.ID)
 	q.trimArrivals()
 }
 
-// evictLast takes out the ask that would be served evictLast, if its weight is below the
-// given one: it makes room for one that matters more.
+// evictLast removes the request that would be served last if its weight is below
+// the given one, to make room for a request of greater weight.
 func (q *queue) evictLast(now time.Time, below int) *queuedRequest {
 	for i := len(q.weights) - 1; i >= 0 && q.weights[i] < below; i-- {
 		var latest *queuedRequest
@@ -182,7 +183,7 @@
 	return nil
 }
 
-// removeByID takes out the ask with this id, if it waits.
+// removeByID removes the request with this id, if it is queued.
 func (q *queue) removeByID(now time.Time, id string) bool {
 	w, ok := q.byID[id]
 	if ok {
@@ -191,12 +192,12 @@
 	return ok
 }
 
-// removeExpired takes out every ask whose wait has ended, in order of arrival.
+// removeExpired removes every expired request, in order of arrival.
 func (q *queue) removeExpired(now time.Time) []*queuedRequest {
 	return q.removeWhere(now, func(w *queuedRequest) bool { return !now.Before(w.expires) })
 }
 
-// removeOthers takes out the asks of all boxes but one, in order of arrival.
+// removeOthers removes the requests of all boxes but one, in order of arrival.
 func (q *queue) removeOthers(now time.Time, box string) []*queuedRequest {
 	return q.removeWhere(now, func(w *queuedRequest) bool { return w.request.Box != box })
 }
--- a/core/box/ledger/targets.go
+++ b/core/box/ledger/targets.go
@@ -6,9 +6,9 @@
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 )
 
-// observeStart notes a target's start number. A greater one is a new life: cold,
-// and not leaving. The first one that is seen belongs to the life that an
-// earlier word of its leaving was about.
+// observeStart records a target's start number. A greater one is a new
+// incarnation, which is cold and not leaving. The first number observed belongs
+// to the incarnation that an earlier report of its leaving referred to.
 func (t *target) observeStart(start uint64) {
 	if start <= t.start {
 		return
@@ -26,8 +26,9 @@
 	}
 }
 
-// MarkLeaving notes that a target leaves. start is its start number, 0 when the
-// source does not know it; it sticks until a greater one is seen.
+// MarkLeaving records that a target is leaving. start is its start number, 0 when
+// the source does not know it. The target stays leaving until a greater start
+// number is observed.
 func (l *Ledger) MarkLeaving(address string, start uint64) {
 	if t, ok := l.targets[address]; ok {
 		t.markLeaving(start)
@@ -39,14 +40,15 @@
 		start = t.start
 	}
 	if start < t.start {
-		return // old news of an earlier life
+		return // outdated, about an earlier incarnation
 	}
 	t.observeStart(start)
 	t.leavingStart = max(t.leavingStart, start)
 	t.leaving = true
 }
 
-// observeOutcome notes what an answer of the target says of itself.
+// observeOutcome records the start number and the leaving flag that the target
+// advertised in an answer.
 func (t *target) observeOutcome(o Outcome) {
 	t.observeStart(o.Start)
 	if o.Leaving {
@@ -54,14 +56,15 @@
 	}
 }
 
-// ObserveStart notes a target's start number from elsewhere, such as the list.
+// ObserveStart records a target's start number from another source than its
+// answers, such as the member list.
 func (l *Ledger) ObserveStart(address string, start uint64) {
 	if t, ok := l.targets[address]; ok {
 		t.observeStart(start)
 	}
 }
 
-// RecordProbe takes in a probe's result.
+// RecordProbe records the result of a probe.
 func (l *Ledger) RecordProbe(now time.Time, address string, o Outcome) {
 	t, ok := l.targets[address]
 	if !ok {
--- a/core/box/ledger/view.go
+++ b/core/box/ledger/view.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// TargetView is what the ledger knows of a target, for status and probing.
+// TargetView is the known state of a target, for status output and probing.
 type TargetView struct {
 	Address  string        `json:"address"`
 	Hall     string        `json:"hall"`
@@ -13,14 +13,15 @@
 	Start    uint64        `json:"start"`
 	Ratio    float64       `json:"ratio"`
 	Idle     time.Duration `json:"-"`
-	// BacksOff is whether the target has asked to be sent nothing now, be it leaving or not.
+	// BacksOff is whether the target currently asks not to be sent requests,
+	// whether it is leaving or not.
 	BacksOff bool `json:"-"`
 }
 
-// The states of a target, the first that holds.
+// The states of a target. If several hold, the first of them is reported.
 const (
 	StateLeaving    = "leaving"
-	StateBackingOff = "backing-off" // has asked to be sent nothing
+	StateBackingOff = "backing-off" // asked not to be sent requests for a while
 	StateEjected    = "ejected"
 	StateSuspect    = "suspect"
 	StateLive       = "live"
@@ -28,13 +29,13 @@
 
 // View lists the targets in the order of the service definition.
 func (l *Ledger) View(now time.Time) []TargetView {
-	trust := l.healthPolicy(now)
+	policy := l.healthPolicy(now)
 	out := make([]TargetView, 0, len(l.order))
 	for _, address := range l.order {
 		t := l.targets[address]
 		out = append(out, TargetView{
 			Address: address, Hall: t.Hall, Slots: t.Slots,
-			Limit: t.limit(now, trust), InFlight: len(t.grants),
+			Limit: t.limit(now, policy), InFlight: len(t.grants),
 			State: t.state(now), Start: t.start, Ratio: t.tracker.Ratio(),
 			Idle: now.Sub(t.lastContact), BacksOff: t.tracker.BacksOff(now),
 		})
@@ -57,7 +58,7 @@
 	}
 }
 
-// LeavingTargets lists the targets that leave, with the start number that does.
+// LeavingTargets maps each leaving target to the start number that is leaving.
 func (l *Ledger) LeavingTargets() map[string]uint64 {
 	out := map[string]uint64{}
 	for address, t := range l.targets {
@@ -68,8 +69,8 @@
 	return out
 }
 
-// LeavingStart gives the start number of a target that leaves; ok is false for
-// one that does not.
+// LeavingStart returns the start number of a leaving target; ok is false if the
+// target is not leaving.
 func (l *Ledger) LeavingStart(address string) (start uint64, ok bool) {
 	t, known := l.targets[address]
 	if !known || !t.leaving {
@@ -78,8 +79,8 @@
 	return t.leavingStart, true
 }
 
-// QueueLen is how many asks wait.
+// QueueLen is how many requests are queued.
 func (l *Ledger) QueueLen() int { return l.queue.len() }
 
-// InFlight is how many promises are out.
+// InFlight is how many grants are outstanding.
 func (l *Ledger) InFlight() int { return len(l.grants) }
