--- a/core/box/ledger/ledger_test.go
+++ b/core/box/ledger/ledger_test.go
@@ -23,8 +23,8 @@
 
 const grace = 3 * time.Second
 
-// book is a ledger with warm targets and a clock.
-type book struct {
+// testLedger is a ledger with warm targets and a clock.
+type testLedger struct {
 	*ledger.Ledger
 	now time.Time
 	seq int
@@ -32,8 +32,8 @@
 
 func half() float64 { return 0.5 }
 
-func newBook(targets, slots, maxQueue int) *book {
-	b := &book{Ledger: ledger.New(ledger.Options{MaxQueue: maxQueue, Random: half}), now: start}
+func newTestLedger(targets, slots, maxQueue int) *testLedger {
+	b := &testLedger{Ledger: ledger.New(ledger.Options{MaxQueue: maxQueue, Random: half}), now: start}
 	b.SetTargets(b.now, make([]ledger.Target, 0))
 	list := make([]ledger.Target, targets)
 	for i := range list {
@@ -45,11 +45,11 @@
 }
 
 // warm lets every target answer until it is trusted with all its slots.
-func (b *book) warm(n int) {
+func (b *testLedger) warm(n int) {
 	for range 2 * n {
 		var ids []string
 		for range n {
-			id, d := b.ask(10, "warm")
+			id, d := b.acquire(10, "warm")
 			if d.State == ledger.Granted {
 				ids = append(ids, id)
 			} else {
@@ -64,7 +64,7 @@
 	b.TakeQueueDecisions()
 }
 
-func (b *book) ask(weight int, box string) (string, ledger.Decision) {
+func (b *testLedger) acquire(weight int, box string) (string, ledger.Decision) {
 	b.seq++
 	id := fmt.Sprint("a", b.seq)
 	return id, b.Acquire(b.now, ledger.SlotRequest{
@@ -73,50 +73,50 @@
 	})
 }
 
-func (b *book) ok(id string) {
+func (b *testLedger) releaseOK(id string) {
 	b.Release(b.now, id, ledger.Outcome{Result: health.OK, Took: 10 * time.Millisecond})
 }
 
 var _ = Describe("the ledger", func() {
 	It("counts a promise from the moment it is made", func() {
-		b := newBook(2, 3, 10)
+		b := newTestLedger(2, 3, 10)
 		for range 6 {
-			_, d := b.ask(1, "a")
+			_, d := b.acquire(1, "a")
 			Expect(d.State).To(Equal(ledger.Granted))
 		}
-		_, d := b.ask(1, "b")
+		_, d := b.acquire(1, "b")
 		Expect(d.State).To(Equal(ledger.Queued))
 	})
 
 	It("grants no slot of a target that asks for back-off until then", func() {
-		b := newBook(2, 1, 10)
-		first, d := b.ask(1, "a")
+		b := newTestLedger(2, 1, 10)
+		first, d := b.acquire(1, "a")
 		resting := d.Target
 		b.Release(b.now, first, ledger.Outcome{Result: health.Shed, BackOff: 400 * time.Millisecond})
 		b.RecordProbe(b.now, resting, ledger.Outcome{Result: health.OK, BackOff: 100 * time.Millisecond})
 		for range 39 {
 			b.now = b.now.Add(10 * time.Millisecond)
-			id, d := b.ask(1, "a")
+			id, d := b.acquire(1, "a")
 			Expect(d.State).To(Equal(ledger.Granted))
 			Expect(d.Target).NotTo(Equal(resting))
-			b.ok(id)
+			b.releaseOK(id)
 		}
 		b.now = b.now.Add(10 * time.Millisecond)
-		b.ask(1, "a")
-		_, d = b.ask(1, "a")
+		b.acquire(1, "a")
+		_, d = b.acquire(1, "a")
 		Expect(d.State).To(Equal(ledger.Granted), "both take requests again")
 	})
 
 	It("serves the greater weight first, and every tenth turn the longest wait", func() {
-		b := newBook(1, 1, 100)
-		holder, _ := b.ask(1, "a")
-		light, _ := b.ask(1, "a")
+		b := newTestLedger(1, 1, 100)
+		holder, _ := b.acquire(1, "a")
+		light, _ := b.acquire(1, "a")
 		var served []string
 		for range 14 {
-			b.ask(9, "a")
+			b.acquire(9, "a")
 		}
 		for range 15 {
-			b.ok(holder)
+			b.releaseOK(holder)
 			answers := b.TakeQueueDecisions()
 			Expect(answers).To(HaveLen(1))
 			holder = answers[0].Request.ID
@@ -127,11 +127,11 @@
 	})
 
 	It("refuses at once what would come too late, with a time to come back", func() {
-		b := newBook(1, 1, 1000)
-		b.ask(5, "a")
+		b := newTestLedger(1, 1, 1000)
+		b.acquire(5, "a")
 		var refused ledger.Decision
 		for range 300 {
-			if _, d := b.ask(5, "a"); d.State == ledger.Refused {
+			if _, d := b.acquire(5, "a"); d.State == ledger.Refused {
 				refused = d
 				break
 			}
@@ -141,13 +141,13 @@
 	})
 
 	It("makes room in a full queue for what weighs more, and answers what gives way", func() {
-		b := newBook(1, 1, 2)
-		b.ask(1, "a")
-		b.ask(1, "a")
-		gives, _ := b.ask(1, "a")
-		_, full := b.ask(1, "a")
+		b := newTestLedger(1, 1, 2)
+		b.acquire(1, "a")
+		b.acquire(1, "a")
+		gives, _ := b.acquire(1, "a")
+		_, full := b.acquire(1, "a")
 		Expect(full.Reason).To(Equal(verdict.ReasonQueueFull))
-		_, d := b.ask(9, "a")
+		_, d := b.acquire(9, "a")
 		Expect(d.State).To(Equal(ledger.Queued))
 		answers := b.TakeQueueDecisions()
 		Expect(answers).To(HaveLen(1))
@@ -156,9 +156,9 @@
 	})
 
 	It("ends a wait when it runs out", func() {
-		b := newBook(1, 1, 10)
-		b.ask(1, "a")
-		waits, _ := b.ask(1, "a")
+		b := newTestLedger(1, 1, 10)
+		b.acquire(1, "a")
+		waits, _ := b.acquire(1, "a")
 		b.now = b.now.Add(1100 * time.Millisecond)
 		b.Tick(b.now, grace)
 		answers := b.TakeQueueDecisions()
@@ -168,8 +168,8 @@
 	})
 
 	It("takes back what a vanished box held, after the grace", func() {
-		b := newBook(1, 1, 10)
-		b.ask(1, "gone")
+		b := newTestLedger(1, 1, 10)
+		b.acquire(1, "gone")
 		b.now = b.now.Add(grace - time.Millisecond)
 		b.Tick(b.now, grace)
 		Expect(b.InFlight()).To(Equal(1))
@@ -179,29 +179,29 @@
 	})
 
 	It("adopts what a box holds and drops what it does not name", func() {
-		b := newBook(1, 2, 10)
-		lost, _ := b.ask(1, "a")
+		b := newTestLedger(1, 2, 10)
+		lost, _ := b.acquire(1, "a")
 		b.now = b.now.Add(2 * time.Second)
 		b.Adopt(b.now, "a", []ledger.HeldGrant{{ID: "other", Target: "t0"}})
 		b.Reconcile(b.now, "a", []ledger.HeldGrant{{ID: "other", Target: "t0"}}, time.Second)
 		Expect(b.InFlight()).To(Equal(1))
-		b.ok(lost)
+		b.releaseOK(lost)
 		Expect(b.InFlight()).To(Equal(1))
-		b.ok("other")
+		b.releaseOK("other")
 		Expect(b.InFlight()).To(Equal(0))
 	})
 
 	It("does not take a slot for held again that came back before the box's list did", func() {
-		b := newBook(1, 1, 10)
-		id, _ := b.ask(1, "a")
-		b.ok(id)
+		b := newTestLedger(1, 1, 10)
+		id, _ := b.acquire(1, "a")
+		b.releaseOK(id)
 		b.Reconcile(b.now, "a", []ledger.HeldGrant{{ID: id, Target: "t0"}}, time.Second)
 		Expect(b.InFlight()).To(Equal(0))
 	})
 
 	It("keeps a young promise that its box has not heard of yet", func() {
-		b := newBook(1, 1, 10)
-		b.ask(1, "a")
+		b := newTestLedger(1, 1, 10)
+		b.acquire(1, "a")
 		b.Reconcile(b.now, "a", nil, time.Second)
 		Expect(b.InFlight()).To(Equal(1))
 	})
@@ -209,11 +209,11 @@
 
 var _ = Describe("a target", func() {
 	// grantsTo counts how many of n asks at once go to a target.
-	grantsTo := func(b *book, address string, n int) int {
+	grantsTo := func(b *testLedger, address string, n int) int {
 		count := 0
 		var ids []string
 		for range n {
-			id, d := b.ask(1, "a")
+			id, d := b.acquire(1, "a")
 			ids = append(ids, id)
 			if d.State == ledger.Granted && d.Target == address {
 				count++
@@ -226,16 +226,16 @@
 	}
 
 	It("begins cold with one slot and gains one with each answer", func() {
-		b := &book{Ledger: ledger.New(ledger.Options{MaxQueue: 10, Random: half}), now: start}
+		b := &testLedger{Ledger: ledger.New(ledger.Options{MaxQueue: 10, Random: half}), now: start}
 		b.SetTargets(b.now, []ledger.Target{{Address: "t0", Hall: "north", Slots: 3}})
 		Expect(grantsTo(b, "t0", 5)).To(Equal(1))
-		id, _ := b.ask(1, "a")
-		b.ok(id)
+		id, _ := b.acquire(1, "a")
+		b.releaseOK(id)
 		Expect(grantsTo(b, "t0", 5)).To(Equal(2))
 	})
 
 	It("that leaves gets no new work until a greater start number is seen", func() {
-		b := newBook(2, 3, 10)
+		b := newTestLedger(2, 3, 10)
 		b.MarkLeaving("t0", 0)
 		Expect(grantsTo(b, "t0", 6)).To(Equal(0))
 		b.RecordProbe(b.now, "t0", ledger.Outcome{Result: health.OK, Start: 5})
@@ -247,10 +247,10 @@
 	})
 
 	It("that cannot be reached is left alone, even if most cannot", func() {
-		b := newBook(4, 1, 10)
+		b := newTestLedger(4, 1, 10)
 		for _, address := range []string{"t0", "t1", "t2"} {
 			for {
-				id, d := b.ask(1, "a")
+				id, d := b.acquire(1, "a")
 				if d.Target == address {
 					b.Release(b.now, id, ledger.Outcome{Result: health.Unreachable})
 					break
@@ -262,14 +262,14 @@
 	})
 
 	It("that fails in a row is ejected and tried again later", func() {
-		b := newBook(3, 1, 10)
+		b := newTestLedger(3, 1, 10)
 		for range 3 {
-			b.ask(1, "a")
+			b.acquire(1, "a")
 		}
-		b2 := newBook(3, 3, 10)
+		b2 := newTestLedger(3, 3, 10)
 		fail := func(address string) {
 			for {
-				id, d := b2.ask(1, "a")
+				id, d := b2.acquire(1, "a")
 				if d.Target == address {
 					b2.Release(b2.now, id, ledger.Outcome{Result: health.Failed, Took: time.Millisecond})
 					return
@@ -285,22 +285,22 @@
 	})
 
 	It("with a request that takes much longer than usual gets no other", func() {
-		b := newBook(2, 3, 10)
+		b := newTestLedger(2, 3, 10)
 		var slow string
-		id, d := b.ask(1, "a")
+		id, d := b.acquire(1, "a")
 		slow = d.Target
 		b.now = b.now.Add(60 * time.Millisecond)
 		Expect(grantsTo(b, slow, 6)).To(Equal(0))
-		b.ok(id)
+		b.releaseOK(id)
 		Expect(grantsTo(b, slow, 6)).To(BeNumerically(">", 0))
 	})
 })
 
-// TestNothingIsLostOrPromisedTwice plays random orders of everything that may
+// TestEachRequestIsDecidedOnceAndNoTargetIsOvercommitted plays random orders of everything that may
 // happen to a ledger.
-func TestNothingIsLostOrPromisedTwice(t *testing.T) {
+func TestEachRequestIsDecidedOnceAndNoTargetIsOvercommitted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newBook(3, 2, 8)
+		b := newTestLedger(3, 2, 8)
 		granted := map[string]string{}
 		waiting := map[string]bool{}
 		take := func() {
@@ -318,7 +318,7 @@
 			b.now = b.now.Add(time.Duration(rapid.IntRange(0, 60).Draw(rt, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 6).Draw(rt, "step") {
 			case 0, 1, 2:
-				id, d := b.ask(rapid.IntRange(1, 3).Draw(rt, "weight"), "a")
+				id, d := b.acquire(rapid.IntRange(1, 3).Draw(rt, "weight"), "a")
 				if d.State == ledger.Granted {
 					granted[id] = d.Target
 				} else if d.State == ledger.Queued {
@@ -361,9 +361,9 @@
 	})
 }
 
-func TestADecisionAllocatesLittle(t *testing.T) {
+func TestAllocationsOfADecisionAreBounded(t *testing.T) {
 	const most = 4
-	b := newBook(20, 3, 100)
+	b := newTestLedger(20, 3, 100)
 	a := ledger.SlotRequest{ID: "x", Box: "a", Hall: "north", Kind: "k", Weight: 1, Deadline: b.now.Add(time.Second), LongestWait: time.Second}
 	got := testing.AllocsPerRun(1000, func() {
 		b.Acquire(b.now, a)
@@ -377,7 +377,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, targets := range []int{5, 10, 20, 40, 80} {
 		b.Run(fmt.Sprint(targets, " targets"), func(b *testing.B) {
-			l := newBook(targets, 3, 100)
+			l := newTestLedger(targets, 3, 100)
 			a := ledger.SlotRequest{ID: "x", Box: "a", Hall: "north", Kind: "k", Weight: 1, Deadline: l.now.Add(time.Second), LongestWait: time.Second}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/box/ledger/sim_bounds_test.go
+++ b/core/box/ledger/sim_bounds_test.go
@@ -46,7 +46,7 @@
 	"home killed 70%":    {154623 * time.Microsecond, 0.0005},
 }
 
-func TestEachCaseStaysWithinItsBounds(t *testing.T) {
+func TestLatencyAndLossStayWithinBounds(t *testing.T) {
 	for _, d := range []struct {
 		deployment
 		bounds map[string]bound
@@ -57,35 +57,35 @@
 				want, ok := d.bounds[c.name]
 				g.Expect(ok).To(BeTrue(), "the case has a bound")
 				kind := c.kinds[0].name
-				got := play(c, 1)
+				got := runCase(c, 1)
 				g.Expect(got.quantile(kind, 99)).To(BeNumerically("<=", want.p99), "p99")
-				g.Expect(got.lost(kind)).To(BeNumerically("<=", want.lost), "lost")
+				g.Expect(got.lossRate(kind)).To(BeNumerically("<=", want.lost), "lost")
 			})
 		}
 	}
 }
 
-func TestRefusedClientsAreServedWhenTheyComeBackAsTold(t *testing.T) {
+func TestRefusedClientsAreServedWhenTheyRetryAfterTheGivenDelay(t *testing.T) {
 	g := NewWithT(t)
 	for _, d := range []deployment{studio, loblolly} {
-		c := testCase{name: "come back", deployment: d, load: 1.3, length: 20 * time.Second, comeBack: true}
-		r := play(c, 1)
+		c := testCase{name: "come back", deployment: d, load: 1.3, length: 20 * time.Second, retryRefused: true}
+		r := runCase(c, 1)
 		for _, k := range d.kinds {
-			g.Expect(r.lost(k.name)).To(BeZero(), "%s, %s: every request is served in the end", d.name, k.name)
+			g.Expect(r.lossRate(k.name)).To(BeZero(), "%s, %s: every request is served in the end", d.name, k.name)
 		}
-		slices.Sort(r.comeBack)
+		slices.Sort(r.repeats)
 		slices.Sort(r.refusals)
 		g.Expect(r.refusals).NotTo(BeEmpty())
 		t.Logf("%s: %d refusals after p50 %s, p99 %s; repeats p50 %d, p99 %d, most %d", d.name, len(r.refusals),
-			at(r.refusals, 50), at(r.refusals, 99), at(r.comeBack, 50), at(r.comeBack, 99), at(r.comeBack, 100))
-		g.Expect(at(r.comeBack, 99)).To(BeNumerically("<=", 4), d.name)
+			percentile(r.refusals, 50), percentile(r.refusals, 99), percentile(r.repeats, 50), percentile(r.repeats, 99), percentile(r.repeats, 100))
+		g.Expect(percentile(r.repeats, 99)).To(BeNumerically("<=", 4), d.name)
 	}
 }
 
-// TestAttemptsStayFewThroughAFullOutage lets every target fail fast for five
+// TestAttemptsAreBoundedInAFullOutage lets every target fail fast for five
 // seconds: retries are a share of the successes, so they do not bury it. The
 // bound on the p99 is what own counts with three tries each gave.
-func TestAttemptsStayFewThroughAFullOutage(t *testing.T) {
+func TestAttemptsAreBoundedInAFullOutage(t *testing.T) {
 	g := NewWithT(t)
 	for _, d := range []struct {
 		deployment
@@ -97,12 +97,12 @@
 				s.after(10*time.Second, func() { one.failFast = false })
 			}
 		}}
-		r := play(c, 1)
+		r := runCase(c, 1)
 		tries := float64(r.tries) / float64(r.sent[d.kinds[0].name]+r.sent[d.kinds[1].name])
 		g.Expect(tries).To(BeNumerically("<=", 1.1), d.name)
 		g.Expect(r.quantile(d.kinds[0].name, 99)).To(BeNumerically("<=", d.p99), "%s, after it ends", d.name)
 	}
 }
 
-// at is a quantile of sorted values.
-func at[T any](sorted []T, percent int) T { return sorted[(len(sorted)-1)*percent/100] }
+// percentile is a quantile of sorted values.
+func percentile[T any](sorted []T, percent int) T { return sorted[(len(sorted)-1)*percent/100] }
--- a/core/box/ledger/sim_cases_test.go
+++ b/core/box/ledger/sim_cases_test.go
@@ -10,13 +10,13 @@
 
 // kind is a kind of request in a test case.
 type kind struct {
-	name     string
-	share    float64
-	mean     time.Duration
-	weight   int
-	deadline time.Duration
-	hedge    bool
-	patience time.Duration // longest wait
+	name        string
+	share       float64
+	mean        time.Duration
+	weight      int
+	deadline    time.Duration
+	hedge       bool
+	longestWait time.Duration // longest wait
 }
 
 // deployment is the size of one firm's service.
@@ -31,33 +31,33 @@
 var studio = deployment{
 	name: "studio preview", targets: 10, halls: 4, boxes: 16,
 	kinds: []*kind{
-		{name: "preview", share: 0.6, mean: 40 * time.Millisecond, weight: 20, deadline: time.Second, hedge: true, patience: 500 * time.Millisecond},
-		{name: "browse", share: 0.4, mean: 60 * time.Millisecond, weight: 1, deadline: 15 * time.Second, patience: 15 * time.Second},
+		{name: "preview", share: 0.6, mean: 40 * time.Millisecond, weight: 20, deadline: time.Second, hedge: true, longestWait: 500 * time.Millisecond},
+		{name: "browse", share: 0.4, mean: 60 * time.Millisecond, weight: 1, deadline: 15 * time.Second, longestWait: 15 * time.Second},
 	},
 }
 
 var loblolly = deployment{
 	name: "loblolly estimates", targets: 7, halls: 3, boxes: 13,
 	kinds: []*kind{
-		{name: "estimate", share: 0.5, mean: 50 * time.Millisecond, weight: 20, deadline: time.Second, hedge: true, patience: 500 * time.Millisecond},
-		{name: "report", share: 0.5, mean: 60 * time.Millisecond, weight: 1, deadline: 15 * time.Second, patience: 15 * time.Second},
+		{name: "estimate", share: 0.5, mean: 50 * time.Millisecond, weight: 20, deadline: time.Second, hedge: true, longestWait: 500 * time.Millisecond},
+		{name: "report", share: 0.5, mean: 60 * time.Millisecond, weight: 1, deadline: 15 * time.Second, longestWait: 15 * time.Second},
 	},
 }
 
-const slotsEach = 3
+const slotsPerTarget = 3
 
 // testCase is a load with faults.
 type testCase struct {
 	name string
 	deployment
-	load  float64 // share of capacity
-	burst bool    // arrivals come in bursts
-	slow  bool    // targets slow down tenfold for 50 to 500 ms at random
-	fault func(s *sim)
-	kill  time.Duration // the home dies then; 0 for never
-	// comeBack makes refused clients repeat at the time that they were told.
-	comeBack bool
-	length   time.Duration
+	load       float64 // share of capacity
+	burst      bool    // arrivals come in bursts
+	slow       bool    // targets slow down tenfold for 50 to 500 ms at random
+	fault      func(s *sim)
+	killHomeAt time.Duration // the home dies then; 0 for never
+	// retryRefused makes refused clients repeat at the time that they were told.
+	retryRefused bool
+	length       time.Duration
 }
 
 func (d deployment) meanWork() time.Duration {
@@ -69,7 +69,7 @@
 }
 
 func (c testCase) rate() float64 {
-	return c.load * float64(c.targets*slotsEach) / c.meanWork().Seconds()
+	return c.load * float64(c.targets*slotsPerTarget) / c.meanWork().Seconds()
 }
 
 const caseLength = 40 * time.Second
@@ -84,16 +84,16 @@
 		{name: "overload 130%", deployment: d, load: 1.3, length: caseLength},
 		{name: "slow targets 60%", deployment: d, load: 0.6, slow: true, length: caseLength},
 		{name: "one fails fast 60%", deployment: d, load: 0.6, length: caseLength, fault: func(s *sim) { s.targets[0].failFast = true }},
-		{name: "one hangs 60%", deployment: d, load: 0.6, length: caseLength, fault: func(s *sim) { s.targets[0].hang = true }},
-		{name: "half gone 40%", deployment: d, load: 0.4, length: caseLength, fault: halfGone},
-		{name: "home killed 70%", deployment: d, load: 0.7, kill: 20 * time.Second, length: caseLength},
+		{name: "one hangs 60%", deployment: d, load: 0.6, length: caseLength, fault: func(s *sim) { s.targets[0].hangs = true }},
+		{name: "half gone 40%", deployment: d, load: 0.4, length: caseLength, fault: halfUnreachable},
+		{name: "home killed 70%", deployment: d, load: 0.7, killHomeAt: 20 * time.Second, length: caseLength},
 	}
 }
 
-func halfGone(s *sim) {
+func halfUnreachable(s *sim) {
 	s.after(10*time.Second, func() {
 		for i := range len(s.targets) / 2 {
-			s.targets[i].gone = true
+			s.targets[i].unreachable = true
 		}
 	})
 }
@@ -102,26 +102,26 @@
 type result struct {
 	latency  map[string]*hdrhistogram.Histogram
 	sent     map[string]int
-	how      map[string]map[string]int
+	outcomes map[string]map[string]int
 	tries    int
-	comeBack []int           // repeats of each request that was served in the end
+	repeats  []int           // repeats of each request that was served in the end
 	refusals []time.Duration // how long each refusal took
 }
 
 func newResult(kinds []*kind) *result {
-	r := &result{latency: map[string]*hdrhistogram.Histogram{}, sent: map[string]int{}, how: map[string]map[string]int{}}
+	r := &result{latency: map[string]*hdrhistogram.Histogram{}, sent: map[string]int{}, outcomes: map[string]map[string]int{}}
 	for _, k := range kinds {
 		r.latency[k.name] = hdrhistogram.New(1, (60 * time.Second).Microseconds(), 3)
-		r.how[k.name] = map[string]int{}
+		r.outcomes[k.name] = map[string]int{}
 	}
 	return r
 }
 
-func (r *result) note(q *request, how string, took time.Duration) {
+func (r *result) record(q *request, how string, took time.Duration) {
 	r.sent[q.kind.name]++
-	r.how[q.kind.name][how]++
+	r.outcomes[q.kind.name][how]++
 	if how == "ok" {
-		r.comeBack = append(r.comeBack, q.repeats)
+		r.repeats = append(r.repeats, q.repeats)
 		_ = r.latency[q.kind.name].RecordValue(took.Microseconds())
 	}
 }
@@ -131,29 +131,29 @@
 }
 
 // share is the part of a kind's requests that ended otherwise than well.
-func (r *result) lost(kind string) float64 {
-	return 1 - float64(r.how[kind]["ok"])/float64(max(r.sent[kind], 1))
+func (r *result) lossRate(kind string) float64 {
+	return 1 - float64(r.outcomes[kind]["ok"])/float64(max(r.sent[kind], 1))
 }
 
-// play runs one case. The arrivals, the work and the slow times depend on the
+// runCase runs one case. The arrivals, the work and the slow times depend on the
 // seed only.
-func play(c testCase, seed uint64) *result {
+func runCase(c testCase, seed uint64) *result {
 	arrivals := rand.New(rand.NewPCG(seed, 1))
 	s := &sim{c: c, random: rand.New(rand.NewPCG(seed, 2)), result: newResult(c.kinds)}
 	for i := range c.targets {
-		t := &simTarget{id: i, hall: i % c.halls, slots: slotsEach}
+		t := &simTarget{id: i, hall: i % c.halls, slots: slotsPerTarget}
 		if c.slow {
-			t.slow = slowTimes(arrivals, c.length)
+			t.slow = slowWindows(arrivals, c.length)
 		}
 		s.targets = append(s.targets, t)
 	}
 	if c.fault != nil {
 		c.fault(s)
 	}
-	send := newHomeBox(s).take
+	send := newHomeBox(s).handle
 	for i, at := range arrivalTimes(arrivals, c) {
 		r := makeRequest(arrivals, c, i, at)
-		s.left++
+		s.pending++
 		s.after(at, func() { send(r) })
 	}
 	s.run()
@@ -191,7 +191,7 @@
 	}
 }
 
-func slowTimes(random *rand.Rand, length time.Duration) []window {
+func slowWindows(random *rand.Rand, length time.Duration) []window {
 	var out []window
 	at := time.Duration(0)
 	for at < length {
--- a/core/box/ledger/sim_home_test.go
+++ b/core/box/ledger/sim_home_test.go
@@ -10,32 +10,32 @@
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 )
 
-// mostTries bounds the targets that one request is sent to.
-const mostTries = 3
+// maxTries bounds the targets that one request is sent to.
+const maxTries = 3
 
 // homeBox is the home of a service, which grants slots from the real ledger.
 type homeBox struct {
-	s       *sim
-	ledger  *ledger.Ledger
-	home    int
-	seq     int
-	waiters map[string]func(ledger.Decision)
-	held    map[int]map[string]ledger.HeldGrant // by box
-	heldAt  map[string]time.Duration
-	asking  map[string]func() // asks without a decision, to be made anew
-	budget  float64
+	s           *sim
+	ledger      *ledger.Ledger
+	home        int
+	seq         int
+	waiters     map[string]func(ledger.Decision)
+	held        map[int]map[string]ledger.HeldGrant // by box
+	heldAt      map[string]time.Duration
+	undecided   map[string]func() // asks without a decision, to be made anew
+	retryBudget float64
 }
 
 func newHomeBox(s *sim) *homeBox {
 	h := &homeBox{
-		s: s, budget: 10,
+		s: s, retryBudget: 10,
 		held: map[int]map[string]ledger.HeldGrant{}, heldAt: map[string]time.Duration{},
-		asking: map[string]func(){},
+		undecided: map[string]func(){},
 	}
-	h.begin()
+	h.start()
 	h.tick()
-	if s.c.kill > 0 {
-		s.after(s.c.kill, h.die)
+	if s.c.killHomeAt > 0 {
+		s.after(s.c.killHomeAt, h.fail)
 	}
 	return h
 }
@@ -53,7 +53,7 @@
 	h.deliver()
 }
 
-func (h *homeBox) begin() {
+func (h *homeBox) start() {
 	h.ledger = ledger.New(ledger.Options{MaxQueue: 2000, Random: h.s.random.Float64})
 	h.waiters = map[string]func(ledger.Decision){}
 	targets := make([]ledger.Target, len(h.s.targets))
@@ -63,16 +63,16 @@
 	h.ledger.SetTargets(h.s.time(), targets)
 }
 
-// silence is how long a dead home goes unnoticed.
-const silence = 100 * time.Millisecond
+// detectionDelay is how long a dead home goes unnoticed.
+const detectionDelay = 100 * time.Millisecond
 
-// die ends the home; after a silence all boxes ask the next one, which learns
+// fail ends the home; after a silence all boxes ask the next one, which learns
 // from them what they hold.
-func (h *homeBox) die() {
+func (h *homeBox) fail() {
 	h.ledger = nil
-	h.s.after(silence, func() {
+	h.s.after(detectionDelay, func() {
 		h.home++
-		h.begin()
+		h.start()
 		for box, held := range h.held {
 			list := make([]ledger.HeldGrant, 0, len(held))
 			for id, one := range held {
@@ -81,15 +81,15 @@
 			}
 			h.ledger.Adopt(h.s.time(), strconv.Itoa(box), list)
 		}
-		again := h.asking
-		h.asking = map[string]func(){}
+		again := h.undecided
+		h.undecided = map[string]func(){}
 		for _, id := range slices.Sorted(maps.Keys(again)) {
 			again[id]()
 		}
 	})
 }
 
-func (h *homeBox) away(box int) time.Duration {
+func (h *homeBox) distance(box int) time.Duration {
 	if box == h.home {
 		return 0
 	}
@@ -108,29 +108,29 @@
 	}
 }
 
-func (h *homeBox) take(r *request) {
+func (h *homeBox) handle(r *request) {
 	r.asked = h.s.now
-	h.ask(r, false, func(id string, d ledger.Decision) {
+	h.acquire(r, false, func(id string, d ledger.Decision) {
 		if d.State != ledger.Granted {
-			h.refused(r, d)
+			h.handleRefusal(r, d)
 			return
 		}
 		t := h.target(d)
-		h.use(r, id, t, d.HedgeAfter)
+		h.send(r, id, t, d.HedgeAfter)
 	})
 }
 
-// refused ends a request, or lets it come back when it was told to.
-func (h *homeBox) refused(r *request, d ledger.Decision) {
+// handleRefusal ends a request, or lets it come back when it was told to.
+func (h *homeBox) handleRefusal(r *request, d ledger.Decision) {
 	h.s.result.refusals = append(h.s.result.refusals, h.s.now-r.asked)
-	if !h.s.c.comeBack {
+	if !h.s.c.retryRefused {
 		h.s.answer(r, "refused")
 		return
 	}
 	h.s.after(d.RetryAfter, func() {
 		r.repeats++
 		r.deadline = h.s.now + r.kind.deadline
-		h.take(r)
+		h.handle(r)
 	})
 }
 
@@ -139,15 +139,15 @@
 	return h.s.targets[i]
 }
 
-// ask goes to the home and back.
-func (h *homeBox) ask(r *request, spareOnly bool, got func(id string, d ledger.Decision)) {
+// acquire goes to the home and back.
+func (h *homeBox) acquire(r *request, spareOnly bool, got func(id string, d ledger.Decision)) {
 	h.seq++
 	id := strconv.Itoa(h.seq)
-	away := h.away(r.box)
+	away := h.distance(r.box)
 	var again func()
 	arrived := func(d ledger.Decision) {
 		h.s.after(away, func() {
-			delete(h.asking, id)
+			delete(h.undecided, id)
 			if d.State == ledger.Granted {
 				h.hold(r, id, d)
 			}
@@ -155,12 +155,12 @@
 		})
 	}
 	again = func() {
-		h.asking[id] = again
+		h.undecided[id] = again
 		h.s.after(away, func() {
 			if h.ledger == nil {
 				return // the home is dead; the ask is made anew after the silence
 			}
-			d := h.ledger.Acquire(h.s.time(), h.askOf(r, id, spareOnly))
+			d := h.ledger.Acquire(h.s.time(), h.slotRequest(r, id, spareOnly))
 			if d.State == ledger.Queued {
 				h.waiters[id] = arrived
 			} else {
@@ -172,14 +172,14 @@
 	again()
 }
 
-func (h *homeBox) askOf(r *request, id string, spareOnly bool) ledger.SlotRequest {
+func (h *homeBox) slotRequest(r *request, id string, spareOnly bool) ledger.SlotRequest {
 	avoid := make([]string, len(r.tried))
 	for i, t := range r.tried {
 		avoid[i] = strconv.Itoa(t)
 	}
 	return ledger.SlotRequest{
 		ID: id, Box: strconv.Itoa(r.box), Hall: strconv.Itoa(r.hall), Kind: r.kind.name, Weight: r.kind.weight,
-		Deadline: epoch.Add(r.deadline), LongestWait: r.kind.patience, Usual: r.kind.mean,
+		Deadline: epoch.Add(r.deadline), LongestWait: r.kind.longestWait, Usual: r.kind.mean,
 		Avoid: avoid, SpareOnly: spareOnly,
 	}
 }
@@ -192,24 +192,24 @@
 	h.heldAt[id] = h.s.now
 }
 
-// use sends the request to its granted target, hedging where it may.
-func (h *homeBox) use(r *request, id string, t *simTarget, hedgeAfter time.Duration) {
+// send sends the request to its granted target, hedging where it may.
+func (h *homeBox) send(r *request, id string, t *simTarget, hedgeAfter time.Duration) {
 	r.tried = append(r.tried, t.id)
 	h.s.result.tries++
 	var cancels []func()
 	over := false
 	finish := func(id string, t *simTarget, result string, took time.Duration) {
-		h.giveBack(r, id, t, result, took)
+		h.release(r, id, t, result, took)
 		if over {
 			return
 		}
-		if len(r.tried) < mostTries && h.mayRetry(result) {
+		if len(r.tried) < maxTries && h.mayRetry(result) {
 			over = true
-			h.take(r)
+			h.handle(r)
 			return
 		}
 		over = true
-		h.budget = min(h.budget+0.1, 10)
+		h.retryBudget = min(h.retryBudget+0.1, 10)
 		h.s.answer(r, result)
 		for _, cancel := range cancels {
 			cancel()
@@ -221,16 +221,16 @@
 		return
 	}
 	h.s.after(hedgeAfter, func() {
-		if over || h.budget < 1 {
+		if over || h.retryBudget < 1 {
 			return
 		}
-		h.budget--
-		h.ask(r, true, func(id string, d ledger.Decision) {
+		h.retryBudget--
+		h.acquire(r, true, func(id string, d ledger.Decision) {
 			if d.State != ledger.Granted {
 				return
 			}
 			if over {
-				h.giveBack(r, id, h.target(d), "unused", 0)
+				h.release(r, id, h.target(d), "unused", 0)
 				return
 			}
 			second := h.target(d)
@@ -245,10 +245,10 @@
 	if result == "unreachable" {
 		return true
 	}
-	if result != "shed" && result != "failed" || h.budget < 1 {
+	if result != "shed" && result != "failed" || h.retryBudget < 1 {
 		return false
 	}
-	h.budget--
+	h.retryBudget--
 	return true
 }
 
@@ -263,7 +263,7 @@
 		if !ended {
 			ended = true
 			cancel()
-			h.giveBack(r, id, t, "cancelled", h.s.now-began)
+			h.release(r, id, t, "cancelled", h.s.now-began)
 		}
 	}
 }
@@ -273,9 +273,9 @@
 	"deadline": health.Cancelled, "cancelled": health.Cancelled, "unused": health.Unused,
 }
 
-func (h *homeBox) giveBack(r *request, id string, t *simTarget, result string, took time.Duration) {
+func (h *homeBox) release(r *request, id string, t *simTarget, result string, took time.Duration) {
 	delete(h.held[r.box], id)
-	h.s.after(h.away(r.box), func() {
+	h.s.after(h.distance(r.box), func() {
 		if h.ledger != nil {
 			h.ledger.Release(h.s.time(), id, ledger.Outcome{Result: results[result], Took: took})
 			h.deliver()
--- a/core/box/ledger/sim_test.go
+++ b/core/box/ledger/sim_test.go
@@ -41,7 +41,7 @@
 	c       testCase
 	targets []*simTarget
 	result  *result
-	left    int // requests that are not answered yet
+	pending int // requests that are not answered yet
 }
 
 func (s *sim) after(d time.Duration, f func()) {
@@ -50,7 +50,7 @@
 }
 
 func (s *sim) run() {
-	for len(s.queue) > 0 && s.left > 0 {
+	for len(s.queue) > 0 && s.pending > 0 {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
 		e.run()
@@ -78,22 +78,22 @@
 // window is a time in which a target works at a tenth of its speed.
 type window struct{ from, to time.Duration }
 
-const slowBy = 10
+const slowdownFactor = 10
 
 // simTarget is a server with a few slots and a short queue of its own.
 type simTarget struct {
-	id       int
-	hall     int
-	slots    int
-	busy     int
-	waiting  []*job
-	slow     []window
-	failFast bool
-	hang     bool
-	gone     bool
+	id          int
+	hall        int
+	slots       int
+	busy        int
+	waiting     []*job
+	slow        []window
+	failFast    bool
+	hangs       bool
+	unreachable bool
 }
 
-const targetQueue = 6
+const targetQueueLength = 6
 
 // job is one try at a target.
 type job struct {
@@ -103,8 +103,8 @@
 	done    func(result string)
 }
 
-// lasts is how long work takes if it begins now.
-func (s *sim) lasts(t *simTarget, work time.Duration) time.Duration {
+// workDuration is how long work takes if it begins now.
+func (s *sim) workDuration(t *simTarget, work time.Duration) time.Duration {
 	at := s.now
 	for _, w := range t.slow {
 		if w.to <= at {
@@ -117,8 +117,8 @@
 			work -= before
 			at = w.from
 		}
-		if inside := (w.to - at) / slowBy; work <= inside {
-			return at + work*slowBy - s.now
+		if inside := (w.to - at) / slowdownFactor; work <= inside {
+			return at + work*slowdownFactor - s.now
 		} else {
 			work -= inside
 			at = w.to
@@ -129,13 +129,13 @@
 
 func (s *sim) arrive(t *simTarget, j *job) {
 	switch {
-	case t.gone:
+	case t.unreachable:
 		j.end("unreachable")
 	case t.failFast:
 		s.after(time.Millisecond, func() { j.end("failed") })
 	case t.busy < t.slots:
 		s.start(t, j)
-	case len(t.waiting) < targetQueue:
+	case len(t.waiting) < targetQueueLength:
 		t.waiting = append(t.waiting, j)
 	default:
 		j.end("shed")
@@ -152,10 +152,10 @@
 func (s *sim) start(t *simTarget, j *job) {
 	t.busy++
 	j.running = true
-	if t.hang {
+	if t.hangs {
 		return
 	}
-	s.after(s.lasts(t, j.work), func() {
+	s.after(s.workDuration(t, j.work), func() {
 		if !j.running {
 			return
 		}
@@ -237,6 +237,6 @@
 		return
 	}
 	r.answered = true
-	s.left--
-	s.result.note(r, how, s.now-r.began)
+	s.pending--
+	s.result.record(r, how, s.now-r.began)
 }
