--- a/core/box/accepted/accepted.go
+++ b/core/box/accepted/accepted.go
@@ -1,10 +1,11 @@
 // Package accepted holds the configuration that is in force on a box. The
-// greatest version of each object that was ever seen stays in force, whatever
-// a watch, a list or a peer says later. A deleted object leaves a tombstone
-// with a version of its own, so that deleting and creating anew is no way back.
+// greatest version of each object that was ever received stays in force, whatever
+// a watch, a list or a peer delivers later. A deleted object leaves a tombstone
+// with a version of its own, so that an object that is deleted and created again
+// cannot return to an older version.
 //
-// It owns what is in force on this box, for the life of the process. It relies on
-// versions alone, does no I/O and reads no clock.
+// It owns the configuration in force on this box while the process runs. It relies
+// on versions alone, does no I/O and reads no clock.
 //
 // # Usage
 //
@@ -34,48 +35,48 @@
 	Since time.Time `json:"since"`
 }
 
-// Book holds the entries of a box. It is safe for concurrent use.
+// Book holds the accepted entries of a box. It is safe for concurrent use.
 type Book struct {
 	mu      sync.RWMutex
 	entries map[string]Entry
 	digest  uint64
 }
 
-// New makes an empty book.
+// New returns an empty set.
 func New() *Book { return &Book{entries: map[string]Entry{}} }
 
-// Offer puts e in force if its version is greater than any seen for its key,
+// Offer puts e in force if its version is greater than any received for its key,
 // and reports whether it did.
 func (b *Book) Offer(now time.Time, e Entry) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	have, ok := b.entries[e.Key]
-	if e.Version <= have.Version {
+	current, ok := b.entries[e.Key]
+	if e.Version <= current.Version {
 		return false
 	}
 	e.Since = now
 	b.entries[e.Key] = e
 	if ok {
-		b.digest ^= mark(have)
+		b.digest ^= mark(current)
 	}
 	b.digest ^= mark(e)
 	return true
 }
 
-// mark hashes a key with its version; the digest is the sum of all marks.
+// mark hashes a key with its version; the digest is the XOR of all hashes.
 func mark(e Entry) uint64 {
 	raw := binary.BigEndian.AppendUint64([]byte(e.Key), e.Version)
 	return xxhash.Sum64(raw)
 }
 
-// Digest is equal on two boxes that hold the same versions.
+// Digest returns a hash that is equal on boxes that hold the same versions.
 func (b *Book) Digest() uint64 {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.digest
 }
 
-// Get finds the entry of a key.
+// Get returns the entry of a key.
 func (b *Book) Get(key string) (Entry, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -83,7 +84,7 @@
 	return e, ok
 }
 
-// All lists the entries by key.
+// All returns the entries sorted by key.
 func (b *Book) All() []Entry {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -95,7 +96,7 @@
 	return out
 }
 
-// Versions lists the version of each key.
+// Versions returns the version of each key.
 func (b *Book) Versions() map[string]uint64 {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -106,7 +107,8 @@
 	return out
 }
 
-// NewerThan lists the entries that are greater than the versions given.
+// NewerThan returns the entries whose version is greater than the one given for
+// their key.
 func (b *Book) NewerThan(versions map[string]uint64) []Entry {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
--- a/core/box/budget/budget.go
+++ b/core/box/budget/budget.go
@@ -1,9 +1,9 @@
 // Package budget holds the two budgets that keep a failing service from being
-// buried: Time bounds how much of a target's time measuring may take, and Share
-// bounds retries and hedges to a part of the successes.
+// overloaded: Time bounds how much of a target's time probes may take, and Share
+// bounds retries and hedges to a share of the successes.
 //
-// It owns both budgets of one box. It relies on its caller for the time, does no I/O
-// and reads no clock.
+// It owns both budgets of one box. Its callers pass the time; it does no I/O and
+// reads no clock.
 //
 // # Usage
 //
@@ -16,8 +16,8 @@
 
 import "time"
 
-// Time is a bucket of a target's time. It starts empty, so that a box that is
-// replaced again and again cannot mint any.
+// Time is a token bucket whose tokens are a target's time. It starts empty, so that
+// a box that is replaced repeatedly gains no tokens by it.
 type Time struct {
 	perSecond time.Duration
 	most      time.Duration
@@ -25,13 +25,13 @@
 	last      time.Time
 }
 
-// NewTime makes a bucket filled with perSecondMS milliseconds each second, up
-// to most.
+// NewTime returns an empty bucket that is refilled with perSecondMS milliseconds
+// each second, up to most.
 func NewTime(perSecondMS float64, most time.Duration) *Time {
 	return &Time{perSecond: time.Duration(perSecondMS * float64(time.Millisecond)), most: most}
 }
 
-// SetRate changes the rate; what is in the bucket stays.
+// SetRate changes the refill rate and keeps the level.
 func (t *Time) SetRate(perSecondMS float64) {
 	t.perSecond = time.Duration(perSecondMS * float64(time.Millisecond))
 }
@@ -44,7 +44,8 @@
 	t.last = now
 }
 
-// Reserve takes the greatest cost that a probe may have, or reports false.
+// Reserve takes cost, the maximum cost of a probe, from the bucket. It returns false
+// and takes nothing if the level is lower.
 func (t *Time) Reserve(now time.Time, cost time.Duration) bool {
 	t.fill(now)
 	if t.level < cost {
@@ -54,13 +55,13 @@
 	return true
 }
 
-// Settle gives back what a probe did not use. A probe that took longer than
-// was reserved is charged for it.
+// Settle returns the unused part of a reservation to the bucket. A probe that took
+// longer than reserved is charged the difference.
 func (t *Time) Settle(reserved, took time.Duration) {
 	t.level = min(t.level+reserved-took, t.most)
 }
 
-// Take empties the bucket, to hand its content to another box.
+// Take empties the bucket and returns its content, to transfer it to another box.
 func (t *Time) Take(now time.Time) time.Duration {
 	t.fill(now)
 	taken := max(t.level, 0)
@@ -68,32 +69,32 @@
 	return taken
 }
 
-// Add puts in what another box handed over.
+// Add adds what another box transferred.
 func (t *Time) Add(d time.Duration) { t.level = min(t.level+max(d, 0), t.most) }
 
-// Level is what the bucket holds.
+// Level is the content of the bucket.
 func (t *Time) Level(now time.Time) time.Duration {
 	t.fill(now)
 	return t.level
 }
 
-// Share lets extra tries be at most a share of the successes.
+// Share limits additional tries to a share of the successes.
 type Share struct {
 	perSuccess float64
 	most       float64
 	level      float64
 }
 
-// NewShare makes a budget that earns perSuccess tries for each success and
-// holds at most most. It starts full, so that a quiet service can retry.
+// NewShare returns a budget that gains perSuccess tries for each success and holds
+// at most most. It starts full, so that a service with little traffic can retry.
 func NewShare(perSuccess, most float64) *Share {
 	return &Share{perSuccess: perSuccess, most: most, level: most}
 }
 
-// Earn notes a success.
+// Earn records a success.
 func (s *Share) Earn() { s.level = min(s.level+s.perSuccess, s.most) }
 
-// Spend takes one try, or reports false.
+// Spend takes one try from the budget, or returns false if less than one is left.
 func (s *Share) Spend() bool {
 	if s.level < 1 {
 		return false
--- a/core/box/health/health.go
+++ b/core/box/health/health.go
@@ -1,19 +1,19 @@
-// Package health judges one target from the durations and outcomes of its
-// requests. It reads no clock and does no I/O: time comes in as an argument.
+// Package health tracks the health of one target by the durations and outcomes
+// of its requests. It reads no clock and does no I/O: callers pass the time.
 //
-// A cold target ramps up from one slot. A quick failure never counts as a quick
-// answer. Failures in a row eject the target for a growing time, after
-// which one trial request decides. A target that is much slower than usual is
-// suspect and is trusted with one slot.
+// A cold target ramps up from one slot. A fast failure never counts as a fast
+// answer. Consecutive failures eject the target for an increasing time, after
+// which one trial request decides. A target that is much slower than expected is
+// suspect and limited to one slot.
 //
-// It owns the state of one target as one home sees it. It relies on the outcomes that
-// boxes report.
+// It owns the state of one target as one home observes it. It relies on the outcomes
+// that boxes report.
 //
 // # Usage
 //
 //	tracker := health.New(3)
 //	tracker.Observe(now, health.OK, 40*time.Millisecond, 50*time.Millisecond)
-//	free := tracker.Limit(now) - promised
+//	free := tracker.Limit(now) - inFlight
 package health
 
 import (
@@ -27,17 +27,17 @@
 
 // The results that a box reports with a returned slot.
 const (
-	// OK is a whole answer.
+	// OK is a complete answer.
 	OK Result = "ok"
-	// Failed is an answer that says that the target failed, or a cut one.
+	// Failed is an answer that reports a failure of the target, or a truncated one.
 	Failed Result = "failed"
-	// Shed is a target's own refusal for load.
+	// Shed is a refusal by the target because of its load.
 	Shed Result = "shed"
 	// Unreachable is a failure to connect.
 	Unreachable Result = "unreachable"
-	// Cancelled is a request that the box gave up; it says little of the target.
+	// Cancelled is a request that the box cancelled; it says little about the target.
 	Cancelled Result = "cancelled"
-	// Unused is a slot that was returned without a request.
+	// Unused is a slot that was released without a request.
 	Unused Result = "unused"
 )
 
@@ -51,60 +51,60 @@
 	suspectForgives = 500 * time.Millisecond
 )
 
-// Tracker holds what is known of one target.
+// Tracker holds the health of one target.
 type Tracker struct {
 	slots        int
-	ramp         int // slots trusted so far; grows with each whole answer
-	failures     int // in a row
+	ramp         int // slots allowed so far; grows with each complete answer
+	failures     int // consecutive
 	ejectedUntil time.Time
 	ejectedFor   time.Duration
-	unreached    bool // no connection could be made the last time
+	unreached    bool // the last connection attempt failed
 	shedUntil    time.Time
 	backOff      backoff.Window
-	ratio        float64 // smoothed duration over the usual duration
+	ratio        float64 // smoothed ratio of the measured to the expected duration
 	slowAt       time.Time
 }
 
-// New makes the tracker of a cold target.
+// New returns the tracker of a cold target.
 func New(slots int) *Tracker { return &Tracker{slots: slots, ramp: 1, ratio: 1} }
 
 // SetSlots changes how many slots the target has.
 func (t *Tracker) SetSlots(slots int) { t.slots = slots }
 
-// Restart forgets everything: the target has begun anew and is cold.
+// Restart resets the state, because a restarted target is cold.
 func (t *Tracker) Restart() { *t = *New(t.slots) }
 
-// Observe takes in the end of a request that took took, where usual is the
-// usual duration of its kind.
-func (t *Tracker) Observe(now time.Time, r Result, took, usual time.Duration) {
+// Observe records the result and the duration of a request. expected is the
+// expected duration of its kind, 0 when unknown.
+func (t *Tracker) Observe(now time.Time, r Result, took, expected time.Duration) {
 	switch r {
 	case OK:
-		t.succeed(now, took, usual)
+		t.succeed(now, took, expected)
 	case Failed, Unreachable:
 		t.fail(now, r)
 	case Shed:
 		t.shedUntil = now.Add(shedPause)
 	case Cancelled:
-		if usual > 0 && took > usual {
-			t.smooth(now, took, usual)
+		if expected > 0 && took > expected {
+			t.smooth(now, took, expected)
 		}
 	}
 }
 
-func (t *Tracker) succeed(now time.Time, took, usual time.Duration) {
+func (t *Tracker) succeed(now time.Time, took, expected time.Duration) {
 	t.failures = 0
 	t.unreached = false
 	t.ejectedFor = 0
 	t.ejectedUntil = time.Time{}
 	t.ramp = min(t.ramp+1, t.slots)
-	t.smooth(now, took, usual)
+	t.smooth(now, took, expected)
 }
 
-func (t *Tracker) smooth(now time.Time, took, usual time.Duration) {
-	if usual <= 0 {
+func (t *Tracker) smooth(now time.Time, took, expected time.Duration) {
+	if expected <= 0 {
 		return
 	}
-	t.ratio += smoothing * (float64(took)/float64(usual) - t.ratio)
+	t.ratio += smoothing * (float64(took)/float64(expected) - t.ratio)
 	if t.ratio > suspectRatio {
 		t.slowAt = now
 	}
@@ -121,31 +121,32 @@
 	t.ramp = 1
 }
 
-// BackOff notes that the target asks to be sent nothing for a time; 0 for not.
+// BackOff records that the target asks not to be sent requests for d; 0 for none.
 func (t *Tracker) BackOff(now time.Time, d time.Duration) { t.backOff.Ask(now, d) }
 
-// BacksOff says whether the target has asked to be sent nothing now.
+// BacksOff reports whether the target currently asks not to be sent requests.
 func (t *Tracker) BacksOff(now time.Time) bool { return t.backOff.Left(now) > 0 }
 
-// Ejected says whether the target is ejected now.
+// Ejected reports whether the target is currently ejected.
 func (t *Tracker) Ejected(now time.Time) bool { return now.Before(t.ejectedUntil) }
 
-// Unreachable says whether the target is ejected because no connection could
-// be made. Unlike a failed answer, that cannot be the request's own fault.
+// Unreachable reports whether the target is ejected because no connection could
+// be made. Unlike a failed answer, the request cannot be the cause of that.
 func (t *Tracker) Unreachable(now time.Time) bool { return t.unreached && t.Ejected(now) }
 
-// EjectedUntil is when the target may be tried again; zero when not ejected.
+// EjectedUntil is when the ejection ends; zero if the last request succeeded or
+// the target was never ejected.
 func (t *Tracker) EjectedUntil() time.Time { return t.ejectedUntil }
 
-// Suspect says whether the target has lately been much slower than usual.
+// Suspect reports whether the target has recently been much slower than expected.
 func (t *Tracker) Suspect(now time.Time) bool {
 	return t.ratio > suspectRatio && now.Sub(t.slowAt) < suspectForgives
 }
 
-// Ratio is the smoothed duration over the usual one; 1 is usual.
+// Ratio is the smoothed ratio of the measured to the expected duration.
 func (t *Tracker) Ratio() float64 { return t.ratio }
 
-// Limit is how many requests the target may be trusted with now.
+// Limit is how many requests may currently be in flight at the target.
 func (t *Tracker) Limit(now time.Time) int {
 	switch {
 	case t.Ejected(now), now.Before(t.shedUntil), t.BacksOff(now):
--- a/core/box/once/key.go
+++ b/core/box/once/key.go
@@ -11,11 +11,12 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-// scopeBytes is how much of a client's hash names its records.
+// scopeBytes is the length of the prefix of a client's hash that identifies the
+// client in the keys of its records.
 const scopeBytes = 16
 
-// CheckKey checks an Idempotency-Key: a UUIDv7 whose time lies within what
-// records are kept for.
+// CheckKey validates an Idempotency-Key: a UUIDv7 whose time is within the
+// retention of records.
 func CheckKey(now time.Time, key string) *verdict.Error {
 	if key == "" {
 		return verdict.New(verdict.NotRun, verdict.ReasonKeyMissing,
@@ -42,24 +43,24 @@
 	return time.Unix(sec, nsec)
 }
 
-// Prefix is where records stand in the platform.
+// Prefix is the key prefix of all records in the platform.
 const Prefix = "once/"
 
-// ObjectKey names the record of a key in the platform. The key, which begins
-// with its time, comes before the client, so that old records can be listed.
+// ObjectKey returns the object key of a record in the platform. The Idempotency-Key,
+// which begins with its time, precedes the client, so that old records can be listed.
 func ObjectKey(service, client, key string) string {
 	sum := sha256.Sum256([]byte(client))
 	return Prefix + service + "/" + key + "/" + hex.EncodeToString(sum[:scopeBytes])
 }
 
-// bucketDigits is how many hexadecimal digits of a key's time name a bucket.
+// bucketDigits is how many hexadecimal digits of a key's time identify a bucket.
 const bucketDigits = 7
 
-// BucketLength is the time that one bucket of records spans.
+// BucketLength is the time span of one bucket of records.
 const BucketLength = (1 << (4 * (12 - bucketDigits))) * time.Millisecond
 
-// BucketPrefix is the prefix of all records of a service whose keys were made
-// in the same bucket of time as at.
+// BucketPrefix is the key prefix of all records of a service whose Idempotency-Keys
+// were created in the same time bucket as at.
 func BucketPrefix(service string, at time.Time) string {
 	digits := fmt.Sprintf("%012x", at.UnixMilli())[:bucketDigits]
 	return Prefix + service + "/" + digits
--- a/core/box/once/once.go
+++ b/core/box/once/once.go
@@ -1,15 +1,16 @@
-// Package once holds the steps by which an operation runs at most once, however
-// often and wherever its request is repeated. It does no I/O: it looks at the
-// record that was found and says what to do next.
+// Package once decides the steps by which an operation runs at most once, however
+// often and on whichever box its request is repeated. It does no I/O: it inspects
+// the record that was found and returns the next step.
 //
-// The record of a key moves held -> sent -> done, or held -> refused. Each move
-// is a conditional update of the platform's object, and only the try that moved
-// the record from held to sent may send the request. A sent record is never
-// taken over. A refused one may be, but only by a try that began after it: a try
-// that finds any other's record while it moves its own gives up.
+// The record of a key changes from held to sent to done, or from held to refused.
+// Each transition is a conditional update of the platform's object, and only the
+// try that changed the record from held to sent may send the request. A sent record
+// is never claimed by another try. A refused one may be, but only by a try that began
+// after the refusal: a try that finds the record of another try while it updates its
+// own is abandoned.
 //
-// It owns the states of a record and the moves between them. It relies on the object
-// API's conditional updates for every promise, and on clocks only to expire records.
+// It owns the states of a record and their transitions. It relies on the object
+// API's conditional updates for every guarantee, and on clocks only to expire records.
 //
 // # Usage
 //
@@ -27,7 +28,7 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-// State is how far an operation has come.
+// State is the progress of an operation.
 type State string
 
 // The states of a record.
@@ -41,47 +42,47 @@
 const (
 	// Retention is how long records are kept.
 	Retention = 24 * time.Hour
-	// ClockSkew is how far a key's time may lie in the future.
+	// ClockSkew is how far in the future the time of a key may be.
 	ClockSkew = 5 * time.Minute
 
 	comeBack = time.Second
 )
 
-// Answer is a target's whole answer as the record keeps it.
+// Answer is a target's complete answer as the record stores it.
 type Answer struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header,omitempty"`
 	Body   []byte              `json:"body,omitempty"`
-	// Dropped says that the body was too large to be kept.
+	// Dropped is whether the body was too large to be stored.
 	Dropped bool `json:"dropped,omitempty"`
 }
 
 // Record is the platform's object of one key.
 type Record struct {
 	State State `json:"state"`
-	// Nonce names the try that wrote the record.
+	// Nonce identifies the try that wrote the record.
 	Nonce       string `json:"nonce"`
 	Box         string `json:"box"`
 	Fingerprint string `json:"fingerprint"`
-	// Attempt is the greatest number that the client gave to a try that wrote
-	// this record; 0 when the client does not number them.
+	// Attempt is the greatest number that the client assigned to a try that wrote
+	// this record; 0 when the client does not number its tries.
 	Attempt int       `json:"attempt,omitempty"`
 	At      time.Time `json:"at"`
-	// Until is how long a held record is respected, and when the holder of a
-	// sent one gives up waiting. Safety rests on neither: it only keeps two
-	// tries from undoing each other's work.
+	// Until is when a held record may be claimed by another try, and when the
+	// holder of a sent one stops waiting for the answer. Safety depends on
+	// neither: it only keeps two tries from overwriting each other's record.
 	Until  time.Time `json:"until,omitzero"`
 	Answer *Answer   `json:"answer,omitempty"`
 }
 
-// Move copies the record into another state.
+// Move returns a copy of the record in another state.
 func (r Record) Move(now time.Time, s State) Record {
 	r.State = s
 	r.At = now
 	return r
 }
 
-// Action is what a try does next.
+// Action is the next action of a try.
 type Action int
 
 // The actions.
@@ -91,7 +92,7 @@
 	Fail
 )
 
-// Step is the decision about a found record.
+// Step is the decision on a found record.
 type Step struct {
 	Action  Action
 	Version uint64 // the version to expect when claiming; 0 for none
@@ -105,11 +106,11 @@
 	Version uint64
 }
 
-// Begin decides what a new try does about the record that it found first.
+// Begin decides the next step of a new try by the record that it found first.
 //
-// A client that numbers its tries has the strict promise: once one was told
-// "not run", no try with that number or a lesser one is ever sent, even if it
-// lay unread in a frozen box until then.
+// A client that numbers its tries gets the strict guarantee: once a try has been
+// answered "not run", no try with that number or a lower one is ever sent, even if
+// it was delayed until then in a suspended box.
 func Begin(now time.Time, found Found, fingerprint string, attempt int) Step {
 	r := found.Record
 	if r == nil {
@@ -136,9 +137,10 @@
 	}
 }
 
-// Lost decides what a try answers that found another's record while it moved
-// its own. It never claims again: the refusal of another try may already have
-// been told, and must stay true of everything that began before it.
+// Lost decides the answer of a try that found the record of another try while it
+// updated its own. It never claims the record again: the client may already have
+// received the refusal of the other try, and that refusal must stay true of every
+// try that began before it.
 func Lost(now time.Time, r Record, fingerprint string) Step {
 	switch {
 	case r.Fingerprint != fingerprint:
