--- a/core/box/ledger/sim_bounds_test.go
+++ b/core/box/ledger/sim_bounds_test.go
@@ -8,42 +8,43 @@
 	. "github.com/onsi/gomega"
 )
 
-// bound is what the first kind of a case may cost: its p99 and the part of its
-// requests that are lost. The figures are those of a run of seed 1 in virtual
-// time, so they don't move with the machine: of two random choices on a box's
-// own counts, and for the steady cases of 70 and 85% a tenth and a round trip
-// more than one queue that knows everything at once, which is less.
+// bound limits the first kind of a case: its p99 and the share of its requests
+// that are lost. The figures come from runs of seed 1 in virtual time, so they do
+// not depend on the machine. They are those of power-of-two-choices balancing on
+// a box's own counts; for the steady cases of 70 and 85% they are those of a
+// single queue with immediate global knowledge plus a tenth and a round trip,
+// which is lower.
 type bound struct {
 	p99  time.Duration
 	lost float64
 }
 
 var studioBounds = map[string]bound{
-	"steady 50%":         {111295 * time.Microsecond, 0.0005},
-	"steady 70%":         {107754 * time.Microsecond, 0.0005},
-	"steady 85%":         {109795 * time.Microsecond, 0.0005},
-	"steady 95%":         {177535 * time.Microsecond, 0.002670},
-	"bursts 70%":         {165887 * time.Microsecond, 0.010527},
-	"overload 130%":      {206719 * time.Microsecond, 0.232914},
-	"slow targets 60%":   {347391 * time.Microsecond, 0.0005},
-	"one fails fast 60%": {128831 * time.Microsecond, 0.0005},
-	"one hangs 60%":      {126335 * time.Microsecond, 0.002852},
-	"half gone 40%":      {127359 * time.Microsecond, 0.088176},
-	"home killed 70%":    {130687 * time.Microsecond, 0.0005},
+	"steady 50%":           {111295 * time.Microsecond, 0.0005},
+	"steady 70%":           {107754 * time.Microsecond, 0.0005},
+	"steady 85%":           {109795 * time.Microsecond, 0.0005},
+	"steady 95%":           {177535 * time.Microsecond, 0.002670},
+	"bursts 70%":           {165887 * time.Microsecond, 0.010527},
+	"overload 130%":        {206719 * time.Microsecond, 0.232914},
+	"slow targets 60%":     {347391 * time.Microsecond, 0.0005},
+	"one fails fast 60%":   {128831 * time.Microsecond, 0.0005},
+	"one hangs 60%":        {126335 * time.Microsecond, 0.002852},
+	"half unreachable 40%": {127359 * time.Microsecond, 0.088176},
+	"home killed 70%":      {130687 * time.Microsecond, 0.0005},
 }
 
 var loblollyBounds = map[string]bound{
-	"steady 50%":         {134399 * time.Microsecond, 0.0005},
-	"steady 70%":         {136195 * time.Microsecond, 0.0005},
-	"steady 85%":         {139856 * time.Microsecond, 0.0005},
-	"steady 95%":         {202879 * time.Microsecond, 0.001474},
-	"bursts 70%":         {203263 * time.Microsecond, 0.029633},
-	"overload 130%":      {238079 * time.Microsecond, 0.233275},
-	"slow targets 60%":   {378879 * time.Microsecond, 0.0005},
-	"one fails fast 60%": {152703 * time.Microsecond, 0.0005},
-	"one hangs 60%":      {157311 * time.Microsecond, 0.004829},
-	"half gone 40%":      {152703 * time.Microsecond, 0.034688},
-	"home killed 70%":    {154623 * time.Microsecond, 0.0005},
+	"steady 50%":           {134399 * time.Microsecond, 0.0005},
+	"steady 70%":           {136195 * time.Microsecond, 0.0005},
+	"steady 85%":           {139856 * time.Microsecond, 0.0005},
+	"steady 95%":           {202879 * time.Microsecond, 0.001474},
+	"bursts 70%":           {203263 * time.Microsecond, 0.029633},
+	"overload 130%":        {238079 * time.Microsecond, 0.233275},
+	"slow targets 60%":     {378879 * time.Microsecond, 0.0005},
+	"one fails fast 60%":   {152703 * time.Microsecond, 0.0005},
+	"one hangs 60%":        {157311 * time.Microsecond, 0.004829},
+	"half unreachable 40%": {152703 * time.Microsecond, 0.034688},
+	"home killed 70%":      {154623 * time.Microsecond, 0.0005},
 }
 
 func TestLatencyAndLossStayWithinBounds(t *testing.T) {
@@ -68,10 +69,10 @@
 func TestRefusedClientsAreServedWhenTheyRetryAfterTheGivenDelay(t *testing.T) {
 	g := NewWithT(t)
 	for _, d := range []deployment{studio, loblolly} {
-		c := testCase{name: "come back", deployment: d, load: 1.3, length: 20 * time.Second, retryRefused: true}
+		c := testCase{name: "refused clients retry", deployment: d, load: 1.3, length: 20 * time.Second, retryRefused: true}
 		r := runCase(c, 1)
 		for _, k := range d.kinds {
-			g.Expect(r.lossRate(k.name)).To(BeZero(), "%s, %s: every request is served in the end", d.name, k.name)
+			g.Expect(r.lossRate(k.name)).To(BeZero(), "%s, %s: every request is eventually served", d.name, k.name)
 		}
 		slices.Sort(r.repeats)
 		slices.Sort(r.refusals)
@@ -82,9 +83,10 @@
 	}
 }
 
-// TestAttemptsAreBoundedInAFullOutage lets every target fail fast for five
-// seconds: retries are a share of the successes, so they do not bury it. The
-// bound on the p99 is what own counts with three tries each gave.
+// TestAttemptsAreBoundedInAFullOutage has every target fail fast for five seconds.
+// Retries are limited to a share of the successes, so they do not overload the
+// targets. The bound on the p99 is that of balancing on a box's own counts with
+// three tries per request.
 func TestAttemptsAreBoundedInAFullOutage(t *testing.T) {
 	g := NewWithT(t)
 	for _, d := range []struct {
@@ -104,5 +106,5 @@
 	}
 }
 
-// percentile is a quantile of sorted values.
+// percentile returns a percentile of sorted values.
 func percentile[T any](sorted []T, percent int) T { return sorted[(len(sorted)-1)*percent/100] }
--- a/core/box/ledger/sim_cases_test.go
+++ b/core/box/ledger/sim_cases_test.go
@@ -16,10 +16,10 @@
 	weight      int
 	deadline    time.Duration
 	hedge       bool
-	longestWait time.Duration // longest wait
+	longestWait time.Duration
 }
 
-// deployment is the size of one firm's service.
+// deployment is the size and the load profile of one service.
 type deployment struct {
 	name    string
 	targets int
@@ -46,16 +46,16 @@
 
 const slotsPerTarget = 3
 
-// testCase is a load with faults.
+// testCase is a simulated load with faults.
 type testCase struct {
 	name string
 	deployment
-	load       float64 // share of capacity
+	load       float64 // utilization of the capacity
 	burst      bool    // arrivals come in bursts
 	slow       bool    // targets slow down tenfold for 50 to 500 ms at random
 	fault      func(s *sim)
-	killHomeAt time.Duration // the home dies then; 0 for never
-	// retryRefused makes refused clients repeat at the time that they were told.
+	killHomeAt time.Duration // when the home fails; 0 for never
+	// retryRefused makes refused clients retry after the delay they were given.
 	retryRefused bool
 	length       time.Duration
 }
@@ -85,7 +85,7 @@
 		{name: "slow targets 60%", deployment: d, load: 0.6, slow: true, length: caseLength},
 		{name: "one fails fast 60%", deployment: d, load: 0.6, length: caseLength, fault: func(s *sim) { s.targets[0].failFast = true }},
 		{name: "one hangs 60%", deployment: d, load: 0.6, length: caseLength, fault: func(s *sim) { s.targets[0].hangs = true }},
-		{name: "half gone 40%", deployment: d, load: 0.4, length: caseLength, fault: halfUnreachable},
+		{name: "half unreachable 40%", deployment: d, load: 0.4, length: caseLength, fault: halfUnreachable},
 		{name: "home killed 70%", deployment: d, load: 0.7, killHomeAt: 20 * time.Second, length: caseLength},
 	}
 }
@@ -98,13 +98,13 @@
 	})
 }
 
-// result is what became of a run's requests.
+// result holds the outcomes of a run's requests.
 type result struct {
 	latency  map[string]*hdrhistogram.Histogram
 	sent     map[string]int
 	outcomes map[string]map[string]int
 	tries    int
-	repeats  []int           // repeats of each request that was served in the end
+	repeats  []int           // repeats of each request that was eventually served
 	refusals []time.Duration // how long each refusal took
 }
 
@@ -117,10 +117,10 @@
 	return r
 }
 
-func (r *result) record(q *request, how string, took time.Duration) {
+func (r *result) record(q *request, outcome string, took time.Duration) {
 	r.sent[q.kind.name]++
-	r.outcomes[q.kind.name][how]++
-	if how == "ok" {
+	r.outcomes[q.kind.name][outcome]++
+	if outcome == "ok" {
 		r.repeats = append(r.repeats, q.repeats)
 		_ = r.latency[q.kind.name].RecordValue(took.Microseconds())
 	}
@@ -130,12 +130,12 @@
 	return time.Duration(r.latency[kind].ValueAtQuantile(q)) * time.Microsecond
 }
 
-// share is the part of a kind's requests that ended otherwise than well.
+// lossRate is the share of a kind's requests that did not end with an ok.
 func (r *result) lossRate(kind string) float64 {
 	return 1 - float64(r.outcomes[kind]["ok"])/float64(max(r.sent[kind], 1))
 }
 
-// runCase runs one case. The arrivals, the work and the slow times depend on the
+// runCase runs one case. The arrivals, the work and the slow windows depend on the
 // seed only.
 func runCase(c testCase, seed uint64) *result {
 	arrivals := rand.New(rand.NewPCG(seed, 1))
@@ -183,7 +183,7 @@
 		k = c.kinds[1]
 	}
 	box := random.IntN(c.boxes)
-	const sigma = 0.4 // of the logarithm of the work
+	const sigma = 0.4 // standard deviation of the logarithm of the work
 	work := float64(k.mean) * math.Exp(random.NormFloat64()*sigma-sigma*sigma/2)
 	return &request{
 		id: id, kind: k, box: box, hall: box % c.halls, work: time.Duration(work),
--- a/core/box/ledger/sim_home_test.go
+++ b/core/box/ledger/sim_home_test.go
@@ -10,10 +10,10 @@
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 )
 
-// maxTries bounds the targets that one request is sent to.
+// maxTries is how many targets one request is sent to at most.
 const maxTries = 3
 
-// homeBox is the home of a service, which grants slots from the real ledger.
+// homeBox simulates the home of a service with the real ledger.
 type homeBox struct {
 	s           *sim
 	ledger      *ledger.Ledger
@@ -22,7 +22,7 @@
 	waiters     map[string]func(ledger.Decision)
 	held        map[int]map[string]ledger.HeldGrant // by box
 	heldAt      map[string]time.Duration
-	undecided   map[string]func() // asks without a decision, to be made anew
+	undecided   map[string]func() // repeats a request for a slot that has no decision yet
 	retryBudget float64
 }
 
@@ -40,7 +40,7 @@
 	return h
 }
 
-// tick is what a box does every 10 ms.
+// tick does the periodic work of a box, every 10 ms.
 func (h *homeBox) tick() {
 	h.s.after(10*time.Millisecond, h.tick)
 	if h.ledger == nil {
@@ -63,11 +63,11 @@
 	h.ledger.SetTargets(h.s.time(), targets)
 }
 
-// detectionDelay is how long a dead home goes unnoticed.
+// detectionDelay is how long the failure of a home remains undetected.
 const detectionDelay = 100 * time.Millisecond
 
-// fail ends the home; after a silence all boxes ask the next one, which learns
-// from them what they hold.
+// fail ends the home. After the detection delay all boxes send their requests to
+// the next home, which adopts the grants that they hold.
 func (h *homeBox) fail() {
 	h.ledger = nil
 	h.s.after(detectionDelay, func() {
@@ -81,10 +81,10 @@
 			}
 			h.ledger.Adopt(h.s.time(), strconv.Itoa(box), list)
 		}
-		again := h.undecided
+		undecided := h.undecided
 		h.undecided = map[string]func(){}
-		for _, id := range slices.Sorted(maps.Keys(again)) {
-			again[id]()
+		for _, id := range slices.Sorted(maps.Keys(undecided)) {
+			undecided[id]()
 		}
 	})
 }
@@ -100,10 +100,10 @@
 	if h.ledger == nil {
 		return
 	}
-	for _, a := range h.ledger.TakeQueueDecisions() {
-		if w, ok := h.waiters[a.Request.ID]; ok {
-			delete(h.waiters, a.Request.ID)
-			w(a.Decision)
+	for _, q := range h.ledger.TakeQueueDecisions() {
+		if w, ok := h.waiters[q.Request.ID]; ok {
+			delete(h.waiters, q.Request.ID)
+			w(q.Decision)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	})
 }
 
-// handleRefusal ends a request, or lets it come back when it was told to.
+// handleRefusal ends a request, or repeats it after the retry delay.
 func (h *homeBox) handleRefusal(r *request, d ledger.Decision) {
 	h.s.result.refusals = append(h.s.result.refusals, h.s.now-r.asked)
 	if !h.s.c.retryRefused {
@@ -139,37 +139,38 @@
 	return h.s.targets[i]
 }
 
-// acquire goes to the home and back.
-func (h *homeBox) acquire(r *request, spareOnly bool, got func(id string, d ledger.Decision)) {
+// acquire requests a slot from the home and calls decided with the decision after a
+// round trip.
+func (h *homeBox) acquire(r *request, spareOnly bool, decided func(id string, d ledger.Decision)) {
 	h.seq++
 	id := strconv.Itoa(h.seq)
-	away := h.distance(r.box)
-	var again func()
-	arrived := func(d ledger.Decision) {
-		h.s.after(away, func() {
+	delay := h.distance(r.box)
+	var repeat func()
+	reply := func(d ledger.Decision) {
+		h.s.after(delay, func() {
 			delete(h.undecided, id)
 			if d.State == ledger.Granted {
 				h.hold(r, id, d)
 			}
-			got(id, d)
+			decided(id, d)
 		})
 	}
-	again = func() {
-		h.undecided[id] = again
-		h.s.after(away, func() {
+	repeat = func() {
+		h.undecided[id] = repeat
+		h.s.after(delay, func() {
 			if h.ledger == nil {
-				return // the home is dead; the ask is made anew after the silence
+				return // the home has failed; the request is repeated after the detection delay
 			}
 			d := h.ledger.Acquire(h.s.time(), h.slotRequest(r, id, spareOnly))
 			if d.State == ledger.Queued {
-				h.waiters[id] = arrived
+				h.waiters[id] = reply
 			} else {
-				arrived(d)
+				reply(d)
 			}
 			h.deliver()
 		})
 	}
-	again()
+	repeat()
 }
 
 func (h *homeBox) slotRequest(r *request, id string, spareOnly bool) ledger.SlotRequest {
@@ -192,7 +193,7 @@
 	h.heldAt[id] = h.s.now
 }
 
-// send sends the request to its granted target, hedging where it may.
+// send sends the request to its granted target and hedges it if its kind allows.
 func (h *homeBox) send(r *request, id string, t *simTarget, hedgeAfter time.Duration) {
 	r.tried = append(r.tried, t.id)
 	h.s.result.tries++
@@ -240,7 +241,8 @@
 	})
 }
 
-// mayRetry follows the box's rule: what could not be reached is free.
+// mayRetry applies the retry rule of a box: retries of unreachable targets do not
+// count against the budget.
 func (h *homeBox) mayRetry(result string) bool {
 	if result == "unreachable" {
 		return true
@@ -252,7 +254,7 @@
 	return true
 }
 
-// sendTry sends one try; cancelling it gives its slot back, too.
+// sendTry sends one try and returns a function that cancels it and releases its slot.
 func (h *homeBox) sendTry(r *request, id string, t *simTarget, began time.Duration, finish func(string, *simTarget, string, time.Duration)) func() {
 	ended := false
 	cancel := h.s.try(r, t, func(result string, took time.Duration) {
--- a/core/box/ledger/sim_test.go
+++ b/core/box/ledger/sim_test.go
@@ -1,8 +1,8 @@
 package ledger_test
 
-// A simulation of one service in virtual time: the real ledger, with fakes of
-// targets and distances at its seams. The users' bench plays the gateway, not
-// the box, so that it stays for the bounds in sim_bounds_test.go.
+// A simulation of one service in virtual time: the real ledger with fake targets
+// and network delays. The users' benchmark simulates the gateway, not the box, so
+// this simulation remains for the bounds in sim_bounds_test.go.
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// event is something that happens at a moment of virtual time.
+// event runs a function at a point in virtual time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -57,7 +57,7 @@
 	}
 }
 
-// epoch turns virtual time into the form that the core takes.
+// epoch is the wall-clock time at which virtual time starts.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func (s *sim) time() time.Time { return epoch.Add(s.now) }
@@ -67,7 +67,7 @@
 	betweenHall = 1500 * time.Microsecond
 )
 
-// oneWay is the time from one hall to another.
+// oneWay is the network delay from one hall to another.
 func oneWay(a, b int) time.Duration {
 	if a == b {
 		return withinHall
@@ -75,12 +75,12 @@
 	return betweenHall
 }
 
-// window is a time in which a target works at a tenth of its speed.
+// window is a period in which a target runs at a tenth of its speed.
 type window struct{ from, to time.Duration }
 
 const slowdownFactor = 10
 
-// simTarget is a server with a few slots and a short queue of its own.
+// simTarget is a fake target with a few slots and a short queue of its own.
 type simTarget struct {
 	id          int
 	hall        int
@@ -103,7 +103,7 @@
 	done    func(result string)
 }
 
-// workDuration is how long work takes if it begins now.
+// workDuration is how long work takes if it starts now.
 func (s *sim) workDuration(t *simTarget, work time.Duration) time.Duration {
 	at := s.now
 	for _, w := range t.slow {
@@ -164,7 +164,7 @@
 	})
 }
 
-// stop frees the slot of a job and begins the next.
+// stop frees the slot of a job and starts the next one.
 func (s *sim) stop(t *simTarget, j *job) {
 	j.running = false
 	t.busy--
@@ -177,7 +177,7 @@
 	}
 }
 
-// cancel ends a job that nobody waits for.
+// cancel ends a job whose result is no longer needed.
 func (s *sim) cancel(t *simTarget, j *job) {
 	if j.running {
 		s.stop(t, j)
@@ -195,48 +195,48 @@
 	began    time.Duration
 	deadline time.Duration
 	tried    []int
-	asked    time.Duration // when it came in, or came back
+	asked    time.Duration // when the client sent or last repeated it
 	repeats  int
 	answered bool
 }
 
 // try sends the request to a target; end is called at the box with the result
-// and how long the target took. It gives a function that cancels the try.
+// and the duration. It returns a function that cancels the try.
 func (s *sim) try(r *request, t *simTarget, end func(result string, took time.Duration)) (cancel func()) {
 	began := s.now
-	away := oneWay(r.hall, t.hall)
+	delay := oneWay(r.hall, t.hall)
 	j := &job{work: r.work}
 	over := false
 	j.done = func(result string) {
-		s.after(away, func() {
+		s.after(delay, func() {
 			if !over {
 				over = true
 				end(result, s.now-began)
 			}
 		})
 	}
-	s.after(away, func() { s.arrive(t, j) })
-	s.after(max(r.deadline-s.now, 0), func() { // the deadline cancels
+	s.after(delay, func() { s.arrive(t, j) })
+	s.after(max(r.deadline-s.now, 0), func() { // the deadline cancels the try
 		if !over {
 			over = true
-			s.after(away, func() { s.cancel(t, j) })
+			s.after(delay, func() { s.cancel(t, j) })
 			end("deadline", s.now-began)
 		}
 	})
 	return func() {
 		if !over {
 			over = true
-			s.after(away, func() { s.cancel(t, j) })
+			s.after(delay, func() { s.cancel(t, j) })
 		}
 	}
 }
 
-// answer notes how a request ended, once.
-func (s *sim) answer(r *request, how string) {
+// answer records the outcome of a request, only the first time.
+func (s *sim) answer(r *request, outcome string) {
 	if r.answered {
 		return
 	}
 	r.answered = true
 	s.pending--
-	s.result.record(r, how, s.now-r.began)
+	s.result.record(r, outcome, s.now-r.began)
 }
