--- a/box/box.go
+++ b/box/box.go
@@ -55,7 +55,7 @@
 	settings  Settings
 	options   Options
 	log       *slog.Logger
-	book      *accepted.Book
+	book      *accepted.Set
 	platform  *store.Client
 	members   *grant.Members
 	home      *home.Home
--- a/core/box/accepted/accepted.go
+++ b/core/box/accepted/accepted.go
@@ -9,8 +9,8 @@
 //
 // # Usage
 //
-//	book := accepted.New()
-//	if book.Offer(now, accepted.Entry{Key: "services/preview", Version: 7, Value: raw}) {
+//	set := accepted.New()
+//	if set.Offer(now, accepted.Entry{Key: "services/preview", Version: 7, Value: raw}) {
 //		// version 7 is newly in force
 //	}
 package accepted
@@ -35,61 +35,61 @@
 	Since time.Time `json:"since"`
 }
 
-// Book holds the accepted entries of a box. It is safe for concurrent use.
-type Book struct {
+// Set holds the accepted entries of a box. It is safe for concurrent use.
+type Set struct {
 	mu      sync.RWMutex
 	entries map[string]Entry
 	digest  uint64
 }
 
 // New returns an empty set.
-func New() *Book { return &Book{entries: map[string]Entry{}} }
+func New() *Set { return &Set{entries: map[string]Entry{}} }
 
 // Offer puts e in force if its version is greater than any received for its key,
 // and reports whether it did.
-func (b *Book) Offer(now time.Time, e Entry) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	current, ok := b.entries[e.Key]
+func (s *Set) Offer(now time.Time, e Entry) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	current, ok := s.entries[e.Key]
 	if e.Version <= current.Version {
 		return false
 	}
 	e.Since = now
-	b.entries[e.Key] = e
+	s.entries[e.Key] = e
 	if ok {
-		b.digest ^= mark(current)
+		s.digest ^= versionHash(current)
 	}
-	b.digest ^= mark(e)
+	s.digest ^= versionHash(e)
 	return true
 }
 
-// mark hashes a key with its version; the digest is the XOR of all hashes.
-func mark(e Entry) uint64 {
+// versionHash hashes a key with its version; the digest is the XOR of all hashes.
+func versionHash(e Entry) uint64 {
 	raw := binary.BigEndian.AppendUint64([]byte(e.Key), e.Version)
 	return xxhash.Sum64(raw)
 }
 
 // Digest returns a hash that is equal on boxes that hold the same versions.
-func (b *Book) Digest() uint64 {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return b.digest
+func (s *Set) Digest() uint64 {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	return s.digest
 }
 
 // Get returns the entry of a key.
-func (b *Book) Get(key string) (Entry, bool) {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	e, ok := b.entries[key]
+func (s *Set) Get(key string) (Entry, bool) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	e, ok := s.entries[key]
 	return e, ok
 }
 
 // All returns the entries sorted by key.
-func (b *Book) All() []Entry {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	out := make([]Entry, 0, len(b.entries))
-	for _, e := range b.entries {
+func (s *Set) All() []Entry {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	out := make([]Entry, 0, len(s.entries))
+	for _, e := range s.entries {
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(x, y Entry) int { return cmp.Compare(x.Key, y.Key) })
@@ -97,11 +97,11 @@
 }
 
 // Versions returns the version of each key.
-func (b *Book) Versions() map[string]uint64 {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	out := make(map[string]uint64, len(b.entries))
-	for key, e := range b.entries {
+func (s *Set) Versions() map[string]uint64 {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	out := make(map[string]uint64, len(s.entries))
+	for key, e := range s.entries {
 		out[key] = e.Version
 	}
 	return out
@@ -109,11 +109,11 @@
 
 // NewerThan returns the entries whose version is greater than the one given for
 // their key.
-func (b *Book) NewerThan(versions map[string]uint64) []Entry {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
+func (s *Set) NewerThan(versions map[string]uint64) []Entry {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
 	var out []Entry
-	for key, e := range b.entries {
+	for key, e := range s.entries {
 		if e.Version > versions[key] {
 			out = append(out, e)
 		}
--- a/core/box/budget/budget_test.go
+++ b/core/box/budget/budget_test.go
@@ -9,20 +9,20 @@
 	"github.com/sprucecrank/sprucecrank/core/box/budget"
 )
 
-// TestAllBoxesTogetherStayInTheBudget lets boxes probe one target, with any
-// durations up to the reserved cost, hand over their tokens, lose them on the
-// way, and be replaced: the sum never passes the budget.
-func TestAllBoxesTogetherStayInTheBudget(t *testing.T) {
+// TestProbesOfAllBoxesStayWithinTheTimeBudget has boxes probe one target with random
+// durations up to the reserved cost, transfer their tokens, lose them in transit,
+// and be replaced: the sum must never exceed the budget.
+func TestProbesOfAllBoxesStayWithinTheTimeBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const perSecond, most, boxes = 10.0, 20 * time.Millisecond, 4
 		start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 		now := start
-		fresh := func() *budget.Time {
-			b := budget.NewTime(perSecond/boxes, 5*most)
+		fresh := func() *budget.TimeBudget {
+			b := budget.NewTimeBudget(perSecond/boxes, 5*most)
 			b.Level(now)
 			return b
 		}
-		all := make([]*budget.Time, boxes)
+		all := make([]*budget.TimeBudget, boxes)
 		for i := range all {
 			all[i] = fresh()
 		}
@@ -38,23 +38,23 @@
 					all[one].Settle(most, took)
 				}
 			case 2:
-				handed := all[one].Take(now)
+				drained := all[one].Drain(now)
 				if rapid.Bool().Draw(rt, "arrives") {
-					all[rapid.IntRange(0, boxes-1).Draw(rt, "home")].Add(handed)
+					all[rapid.IntRange(0, boxes-1).Draw(rt, "home")].Add(drained)
 				}
 			case 3:
 				all[one] = fresh()
 			}
 			allowed := time.Duration(perSecond * now.Sub(start).Seconds() * float64(time.Millisecond))
 			if spent > allowed {
-				rt.Fatalf("%s spent of %s", spent, allowed)
+				rt.Fatalf("%s spent, allowed are %s", spent, allowed)
 			}
 		}
 	})
 }
 
-func TestRetriesAreAShareOfSuccesses(t *testing.T) {
-	s := budget.NewShare(0.1, 10)
+func TestRetriesAreLimitedToAShareOfSuccesses(t *testing.T) {
+	s := budget.NewRetryBudget(0.1, 10)
 	spent := 0
 	for range 1000 {
 		if s.Spend() {
@@ -70,6 +70,6 @@
 		}
 	}
 	if spent < 19 || spent > 20 {
-		t.Fatalf("%d extra tries for 100 successes and 10 in stock", spent)
+		t.Fatalf("%d extra tries for 100 successes and an initial level of 10", spent)
 	}
 }
--- a/core/box/health/health.go
+++ b/core/box/health/health.go
@@ -42,27 +42,27 @@
 )
 
 const (
-	failuresInRow   = 3
-	firstEjection   = 100 * time.Millisecond
-	longestEjection = 5 * time.Second
-	shedPause       = 20 * time.Millisecond
-	smoothing       = 0.3
-	suspectRatio    = 4.0
-	suspectForgives = 500 * time.Millisecond
+	failureThreshold = 3
+	minEjection      = 100 * time.Millisecond
+	maxEjection      = 5 * time.Second
+	shedPause        = 20 * time.Millisecond
+	smoothingFactor  = 0.3
+	suspectRatio     = 4.0
+	suspectDuration  = 500 * time.Millisecond
 )
 
 // Tracker holds the health of one target.
 type Tracker struct {
-	slots        int
-	ramp         int // slots allowed so far; grows with each complete answer
-	failures     int // consecutive
-	ejectedUntil time.Time
-	ejectedFor   time.Duration
-	unreached    bool // the last connection attempt failed
-	shedUntil    time.Time
-	backOff      backoff.Window
-	ratio        float64 // smoothed ratio of the measured to the expected duration
-	slowAt       time.Time
+	slots         int
+	ramp          int // slots allowed so far; grows with each complete answer
+	failures      int // consecutive
+	ejectedUntil  time.Time
+	ejectedFor    time.Duration
+	connectFailed bool // the last connection attempt failed
+	shedUntil     time.Time
+	backOff       backoff.Window
+	ratio         float64 // smoothed ratio of the measured to the expected duration
+	lastSlow      time.Time
 }
 
 // New returns the tracker of a cold target.
@@ -79,44 +79,44 @@
 func (t *Tracker) Observe(now time.Time, r Result, took, expected time.Duration) {
 	switch r {
 	case OK:
-		t.succeed(now, took, expected)
+		t.recordSuccess(now, took, expected)
 	case Failed, Unreachable:
-		t.fail(now, r)
+		t.recordFailure(now, r)
 	case Shed:
 		t.shedUntil = now.Add(shedPause)
 	case Cancelled:
 		if expected > 0 && took > expected {
-			t.smooth(now, took, expected)
+			t.updateRatio(now, took, expected)
 		}
 	}
 }
 
-func (t *Tracker) succeed(now time.Time, took, expected time.Duration) {
+func (t *Tracker) recordSuccess(now time.Time, took, expected time.Duration) {
 	t.failures = 0
-	t.unreached = false
+	t.connectFailed = false
 	t.ejectedFor = 0
 	t.ejectedUntil = time.Time{}
 	t.ramp = min(t.ramp+1, t.slots)
-	t.smooth(now, took, expected)
+	t.updateRatio(now, took, expected)
 }
 
-func (t *Tracker) smooth(now time.Time, took, expected time.Duration) {
+func (t *Tracker) updateRatio(now time.Time, took, expected time.Duration) {
 	if expected <= 0 {
 		return
 	}
-	t.ratio += smoothing * (float64(took)/float64(expected) - t.ratio)
+	t.ratio += smoothingFactor * (float64(took)/float64(expected) - t.ratio)
 	if t.ratio > suspectRatio {
-		t.slowAt = now
+		t.lastSlow = now
 	}
 }
 
-func (t *Tracker) fail(now time.Time, r Result) {
+func (t *Tracker) recordFailure(now time.Time, r Result) {
 	t.failures++
-	t.unreached = r == Unreachable
-	if r != Unreachable && t.failures < failuresInRow {
+	t.connectFailed = r == Unreachable
+	if r != Unreachable && t.failures < failureThreshold {
 		return
 	}
-	t.ejectedFor = min(max(2*t.ejectedFor, firstEjection), longestEjection)
+	t.ejectedFor = min(max(2*t.ejectedFor, minEjection), maxEjection)
 	t.ejectedUntil = now.Add(t.ejectedFor)
 	t.ramp = 1
 }
@@ -132,7 +132,7 @@
 
 // Unreachable reports whether the target is ejected because no connection could
 // be made. Unlike a failed answer, the request cannot be the cause of that.
-func (t *Tracker) Unreachable(now time.Time) bool { return t.unreached && t.Ejected(now) }
+func (t *Tracker) Unreachable(now time.Time) bool { return t.connectFailed && t.Ejected(now) }
 
 // EjectedUntil is when the ejection ends; zero if the last request succeeded or
 // the target was never ejected.
@@ -140,7 +140,7 @@
 
 // Suspect reports whether the target has recently been much slower than expected.
 func (t *Tracker) Suspect(now time.Time) bool {
-	return t.ratio > suspectRatio && now.Sub(t.slowAt) < suspectForgives
+	return t.ratio > suspectRatio && now.Sub(t.lastSlow) < suspectDuration
 }
 
 // Ratio is the smoothed ratio of the measured to the expected duration.
@@ -151,7 +151,7 @@
 	switch {
 	case t.Ejected(now), now.Before(t.shedUntil), t.BacksOff(now):
 		return 0
-	case t.failures >= failuresInRow, t.Suspect(now):
+	case t.failures >= failureThreshold, t.Suspect(now):
 		return 1
 	default:
 		return min(t.ramp, t.slots)
--- a/core/box/once/key.go
+++ b/core/box/once/key.go
@@ -11,9 +11,9 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-// scopeBytes is the length of the prefix of a client's hash that identifies the
-// client in the keys of its records.
-const scopeBytes = 16
+// clientHashBytes is the length of the prefix of a client's hash that identifies
+// the client in the keys of its records.
+const clientHashBytes = 16
 
 // CheckKey validates an Idempotency-Key: a UUIDv7 whose time is within the
 // retention of records.
@@ -50,7 +50,7 @@
 // which begins with its time, precedes the client, so that old records can be listed.
 func ObjectKey(service, client, key string) string {
 	sum := sha256.Sum256([]byte(client))
-	return Prefix + service + "/" + key + "/" + hex.EncodeToString(sum[:scopeBytes])
+	return Prefix + service + "/" + key + "/" + hex.EncodeToString(sum[:clientHashBytes])
 }
 
 // bucketDigits is how many hexadecimal digits of a key's time identify a bucket.
--- a/core/box/once/once.go
+++ b/core/box/once/once.go
@@ -45,7 +45,7 @@
 	// ClockSkew is how far in the future the time of a key may be.
 	ClockSkew = 5 * time.Minute
 
-	comeBack = time.Second
+	retryDelay = time.Second
 )
 
 // Answer is a target's complete answer as the record stores it.
@@ -75,8 +75,8 @@
 	Answer *Answer   `json:"answer,omitempty"`
 }
 
-// Move returns a copy of the record in another state.
-func (r Record) Move(now time.Time, s State) Record {
+// WithState returns a copy of the record in another state.
+func (r Record) WithState(now time.Time, s State) Record {
 	r.State = s
 	r.At = now
 	return r
@@ -117,7 +117,7 @@
 		return Step{Action: Claim}
 	}
 	if r.Fingerprint != fingerprint {
-		return fail(otherContent(r))
+		return fail(keyReused(r))
 	}
 	switch r.State {
 	case Held:
@@ -133,22 +133,22 @@
 	case Done:
 		return replay(r)
 	default:
-		return fail(sent(now, r))
+		return fail(sentFailure(now, r))
 	}
 }
 
-// Lost decides the answer of a try that found the record of another try while it
-// updated its own. It never claims the record again: the client may already have
-// received the refusal of the other try, and that refusal must stay true of every
+// ResolveConflict decides the answer of a try that found the record of another try
+// while it updated its own. It never claims the record again: the client may already
+// have received the refusal of the other try, and that refusal must stay true of every
 // try that began before it.
-func Lost(now time.Time, r Record, fingerprint string) Step {
+func ResolveConflict(now time.Time, r Record, fingerprint string) Step {
 	switch {
 	case r.Fingerprint != fingerprint:
-		return fail(otherContent(&r))
+		return fail(keyReused(&r))
 	case r.State == Done:
 		return replay(&r)
 	case r.State == Sent:
-		return fail(sent(now, &r))
+		return fail(sentFailure(now, &r))
 	default:
 		return fail(inProgress("another try of this key took over"))
 	}
@@ -162,25 +162,25 @@
 	return Step{Action: Replay, Answer: r.Answer}
 }
 
-func sent(now time.Time, r *Record) *verdict.Error {
+func sentFailure(now time.Time, r *Record) *verdict.Error {
 	if now.Before(r.Until) {
-		return inProgress("the operation was sent and is not answered yet").WithRetryAfter(max(r.Until.Sub(now)/4, comeBack))
+		return inProgress("the operation was sent and is not answered yet").WithRetryAfter(max(r.Until.Sub(now)/4, retryDelay))
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonOutcomeUnknown,
 		"the operation was sent and its answer was lost; it is never sent again: ask the service itself whether it ran")
 }
 
 func inProgress(detail string) *verdict.Error {
-	return verdict.New(verdict.MayHaveRun, verdict.ReasonInProgress, detail).WithRetryAfter(comeBack)
+	return verdict.New(verdict.MayHaveRun, verdict.ReasonInProgress, detail).WithRetryAfter(retryDelay)
 }
 
 func outdated() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonOutdated,
 		"this try was not sent, since one of this key with this number or a greater one was refused before; a later try may be under way").
-		WithRetryAfter(comeBack)
+		WithRetryAfter(retryDelay)
 }
 
-func otherContent(r *Record) *verdict.Error {
+func keyReused(r *Record) *verdict.Error {
 	v := verdict.MayHaveRun
 	if r.State == Done {
 		v = verdict.Ran
--- a/internal/box/entry/tries.go
+++ b/internal/box/entry/tries.go
@@ -23,26 +23,26 @@
 // budgets holds the share of extra tries of each service.
 type budgets struct {
 	mu     sync.Mutex
-	shares map[string]*budget.Share
+	shares map[string]*budget.RetryBudget
 }
 
-func newBudgets() *budgets { return &budgets{shares: map[string]*budget.Share{}} }
+func newBudgets() *budgets { return &budgets{shares: map[string]*budget.RetryBudget{}} }
 
-func (b *budgets) with(service string, f func(*budget.Share)) {
+func (b *budgets) with(service string, f func(*budget.RetryBudget)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	share, ok := b.shares[service]
 	if !ok {
-		share = budget.NewShare(retryPerSuccess, retryMost)
+		share = budget.NewRetryBudget(retryPerSuccess, retryMost)
 		b.shares[service] = share
 	}
 	f(share)
 }
 
-func (b *budgets) earn(service string) { b.with(service, (*budget.Share).Earn) }
+func (b *budgets) earn(service string) { b.with(service, (*budget.RetryBudget).Earn) }
 
 func (b *budgets) spend(service string) (ok bool) {
-	b.with(service, func(s *budget.Share) { ok = s.Spend() })
+	b.with(service, func(s *budget.RetryBudget) { ok = s.Spend() })
 	return ok
 }
 
--- a/internal/box/follow/follow.go
+++ b/internal/box/follow/follow.go
@@ -47,7 +47,7 @@
 
 // Options configure a Follower.
 type Options struct {
-	Book     *accepted.Book
+	Book     *accepted.Set
 	Platform *store.Client
 	Members  *grant.Members
 	Home     *home.Home
--- a/internal/box/oncerun/oncerun.go
+++ b/internal/box/oncerun/oncerun.go
@@ -183,7 +183,7 @@
 	if decodeErr != nil {
 		return Result{}, notReachable(decodeErr)
 	}
-	return resultOf(once.Lost(a.now(), other, a.Fingerprint))
+	return resultOf(once.ResolveConflict(a.now(), other, a.Fingerprint))
 }
 
 func (r *Runner) put(ctx context.Context, m move, patience time.Duration) (uint64, error) {
@@ -247,7 +247,7 @@
 }
 
 func (a *attempt) moveToSent(ctx context.Context, slot *grant.Slot) (Result, *verdict.Error) {
-	next := a.record.Move(a.now(), once.Sent)
+	next := a.record.WithState(a.now(), once.Sent)
 	next.Until = a.Deadline
 	result, failure := a.write(ctx, next, movePatience)
 	if failure != nil || result.Replayed {
@@ -277,7 +277,7 @@
 // true: every try that began before finds the record changed. Where that can't
 // be written, the operation is said to may have run.
 func (a *attempt) refuse(failure *verdict.Error) *verdict.Error {
-	next := a.record.Move(a.now(), once.Refused)
+	next := a.record.WithState(a.now(), once.Refused)
 	_, lost := a.write(context.Background(), next, movePatience)
 	if lost == nil && a.record.State == once.Refused {
 		return failure
@@ -291,7 +291,7 @@
 // finish records the answer. When the platform does not take it in time, the
 // client is answered all the same and the backlog goes on trying.
 func (a *attempt) finish(answer *once.Answer) Result {
-	next := a.record.Move(a.now(), once.Done)
+	next := a.record.WithState(a.now(), once.Done)
 	next.Answer = kept(answer)
 	m := move{key: a.Key, record: next, version: a.version, until: a.now().Add(keepTrying)}
 	if _, err := a.runner.put(context.Background(), m, donePatience); err != nil {
--- a/internal/box/probe/probe.go
+++ b/internal/box/probe/probe.go
@@ -75,7 +75,7 @@
 }
 
 type state struct {
-	tokens *budget.Time
+	tokens *budget.TimeBudget
 	busy   bool
 	spent  time.Duration
 	probes int
@@ -111,7 +111,7 @@
 		return known
 	}
 	stock := time.Duration(share * stockFor.Seconds() * float64(time.Millisecond))
-	tokens := budget.NewTime(share, max(stock, Most))
+	tokens := budget.NewTimeBudget(share, max(stock, Most))
 	tokens.Level(p.options.Clock()) // the clock of the bucket starts now
 	return &state{tokens: tokens}
 }
@@ -219,7 +219,7 @@
 		if p.options.IsHome(next.service) {
 			continue
 		}
-		if d := p.targets[next.address].tokens.Take(p.options.Clock()); d > 0 {
+		if d := p.targets[next.address].tokens.Drain(p.options.Clock()); d > 0 {
 			if out[next.service] == nil {
 				out[next.service] = map[string]time.Duration{}
 			}
