--- a/box/peer/link.go
+++ b/box/peer/link.go
@@ -13,17 +13,17 @@
 
 // Errors of a link.
 var (
-	// ErrSilent says that the other box does not answer; the call may have
+	// ErrUnresponsive says that the other box does not answer; the call may have
 	// reached it.
-	ErrSilent = errors.New("the box does not answer")
+	ErrUnresponsive = errors.New("the box does not answer")
 	// ErrUnreachable says that no connection could be made.
 	ErrUnreachable = errors.New("the box cannot be reached")
 )
 
 const (
-	pingEvery    = 20 * time.Millisecond
-	silentAfter  = 80 * time.Millisecond
-	dialPatience = 100 * time.Millisecond
+	pingInterval = 20 * time.Millisecond
+	pingTimeout  = 80 * time.Millisecond
+	dialTimeout  = 100 * time.Millisecond
 )
 
 // LinkOptions configure a Link.
@@ -32,8 +32,8 @@
 	Address string
 	// Dial opens a connection; nil means TCP. Tests put delays and cuts here.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// SilentAfter is how long a ping may go unanswered; 0 means 80 ms.
-	SilentAfter time.Duration
+	// PingTimeout is how long a ping may go unanswered; 0 means 80 ms.
+	PingTimeout time.Duration
 }
 
 // Link is a connection to one other box, made when it is first needed and made
@@ -51,7 +51,7 @@
 	client  *rpc.Client
 	pending atomic.Int64
 	wake    chan struct{}
-	silent  chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 }
 
@@ -60,8 +60,8 @@
 	if o.Dial == nil {
 		o.Dial = dialTCP
 	}
-	if o.SilentAfter == 0 {
-		o.SilentAfter = silentAfter
+	if o.PingTimeout == 0 {
+		o.PingTimeout = pingTimeout
 	}
 	return &Link{options: o}
 }
@@ -81,15 +81,15 @@
 	if err != nil {
 		return err
 	}
-	s.begin()
-	defer s.end()
+	s.callStarted()
+	defer s.callEnded()
 	l.sent.Add(1)
 	call := s.client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		return l.settle(s, call.Error)
-	case <-s.silent:
-		return ErrSilent
+		return l.checkError(s, call.Error)
+	case <-s.closed:
+		return ErrUnresponsive
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -107,14 +107,14 @@
 	return nil
 }
 
-// settle drops a session whose connection broke.
-func (l *Link) settle(s *session, err error) error {
+// checkError drops a session whose connection broke.
+func (l *Link) checkError(s *session, err error) error {
 	var remote rpc.ServerError
 	if err == nil || errors.As(err, &remote) {
 		return err
 	}
 	l.drop(s)
-	return fmt.Errorf("%w: %w", ErrSilent, err)
+	return fmt.Errorf("%w: %w", ErrUnresponsive, err)
 }
 
 func (l *Link) connect(ctx context.Context) (*session, error) {
@@ -123,7 +123,7 @@
 	if l.session != nil {
 		return l.session, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, dialPatience)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := l.options.Dial(ctx, l.options.Address)
 	if err != nil {
@@ -132,10 +132,10 @@
 	s := &session{
 		client: rpc.NewClient(&countedConn{Conn: conn, bytes: &l.bytes}),
 		wake:   make(chan struct{}, 1),
-		silent: make(chan struct{}),
+		closed: make(chan struct{}),
 	}
 	l.session = s
-	go l.watch(s)
+	go l.monitor(s)
 	return s, nil
 }
 
@@ -162,12 +162,12 @@
 
 func (s *session) close() {
 	s.once.Do(func() {
-		close(s.silent)
+		close(s.closed)
 		_ = s.client.Close()
 	})
 }
 
-func (s *session) begin() {
+func (s *session) callStarted() {
 	s.pending.Add(1)
 	select {
 	case s.wake <- struct{}{}:
@@ -175,13 +175,13 @@
 	}
 }
 
-func (s *session) end() { s.pending.Add(-1) }
+func (s *session) callEnded() { s.pending.Add(-1) }
 
-// watch pings while calls are outstanding and drops a session that is silent.
-func (l *Link) watch(s *session) {
+// monitor pings while calls are outstanding and drops a session that is silent.
+func (l *Link) monitor(s *session) {
 	for {
 		select {
-		case <-s.silent:
+		case <-s.closed:
 			return
 		case <-s.wake:
 		}
@@ -193,12 +193,12 @@
 }
 
 func (l *Link) pingWhilePending(s *session) bool {
-	tick := time.NewTimer(pingEvery)
+	tick := time.NewTimer(pingInterval)
 	defer tick.Stop()
 	for s.pending.Load() > 0 {
-		tick.Reset(pingEvery)
+		tick.Reset(pingInterval)
 		select {
-		case <-s.silent:
+		case <-s.closed:
 			return true
 		case <-tick.C:
 		}
@@ -212,14 +212,14 @@
 func (l *Link) ping(s *session) bool {
 	l.sent.Add(1)
 	call := s.client.Go(MethodPing, Empty{}, &Empty{}, make(chan *rpc.Call, 1))
-	timer := time.NewTimer(l.options.SilentAfter)
+	timer := time.NewTimer(l.options.PingTimeout)
 	defer timer.Stop()
 	select {
 	case <-call.Done:
 		return call.Error == nil
 	case <-timer.C:
 		return false
-	case <-s.silent:
+	case <-s.closed:
 		return true
 	}
 }
--- a/box/peer/peer_test.go
+++ b/box/peer/peer_test.go
@@ -14,8 +14,8 @@
 	"github.com/sprucecrank/sprucecrank/box/peer"
 )
 
-// serve runs a server whose asks wait for the release.
-func serve(t testing.TB, release <-chan struct{}) string {
+// startServer runs a server whose asks wait for the release.
+func startServer(t testing.TB, release <-chan struct{}) string {
 	s, err := peer.NewServer(peer.Handlers{
 		Ask: func(a peer.AskArgs) peer.AskReply {
 			<-release
@@ -38,10 +38,10 @@
 	return l.Addr().String()
 }
 
-func TestASlowAnswerIsNotSilence(t *testing.T) {
+func TestSlowAnswerIsNotReportedAsUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	release := make(chan struct{})
-	link := peer.NewLink(peer.LinkOptions{Address: serve(t, release)})
+	link := peer.NewLink(peer.LinkOptions{Address: startServer(t, release)})
 	t.Cleanup(link.Close)
 	time.AfterFunc(500*time.Millisecond, func() { close(release) })
 	var reply peer.AskReply
@@ -69,11 +69,11 @@
 
 func (c *stallingConn) stall() { c.once.Do(func() { close(c.stalled) }) }
 
-func TestAFrozenBoxIsSilent(t *testing.T) {
+func TestCallToASuspendedBoxFailsAsUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	address := serve(t, release)
+	address := startServer(t, release)
 	var conn *stallingConn
 	link := peer.NewLink(peer.LinkOptions{Address: address, Dial: func(ctx context.Context, a string) (net.Conn, error) {
 		inner, err := (&net.Dialer{}).DialContext(ctx, "tcp", a)
@@ -83,14 +83,14 @@
 	g.Expect(link.Call(t.Context(), peer.MethodPing, peer.Empty{}, &peer.Empty{})).To(Succeed())
 	conn.stall()
 	err := link.Call(t.Context(), peer.MethodAsk, peer.AskArgs{}, &peer.AskReply{})
-	g.Expect(errors.Is(err, peer.ErrSilent)).To(BeTrue(), "%v", err)
+	g.Expect(errors.Is(err, peer.ErrUnresponsive)).To(BeTrue(), "%v", err)
 }
 
 // FuzzServer sends any bytes to a box's peer address: it must go on serving.
 func FuzzServer(f *testing.F) {
 	release := make(chan struct{})
 	close(release)
-	address := serve(f, release)
+	address := startServer(f, release)
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Add([]byte{0x29, 0xff, 0x81, 0x03, 0x01, 0x01, 0x07})
 	f.Add([]byte{0xf8, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
@@ -103,7 +103,7 @@
 		_ = conn.(*net.TCPConn).CloseWrite()
 		_, _ = io.Copy(io.Discard, conn)
 		_ = conn.Close()
-		link := peer.NewLink(peer.LinkOptions{Address: address, SilentAfter: 10 * time.Second})
+		link := peer.NewLink(peer.LinkOptions{Address: address, PingTimeout: 10 * time.Second})
 		defer link.Close()
 		if err := link.Call(t.Context(), peer.MethodPing, peer.Empty{}, &peer.Empty{}); err != nil {
 			t.Fatal(err)
--- a/box/peer/server.go
+++ b/box/peer/server.go
@@ -19,11 +19,11 @@
 
 // Server serves a box's peers.
 type Server struct {
-	rpc   *rpc.Server
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	ended bool
-	bytes atomic.Uint64
+	rpc    *rpc.Server
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
+	bytes  atomic.Uint64
 }
 
 // Sent counts the bytes of all answers.
@@ -59,7 +59,7 @@
 func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.closed {
 		return false
 	}
 	s.conns[c] = true
@@ -76,7 +76,7 @@
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.closed = true
 	for c := range s.conns {
 		_ = c.Close()
 	}
