--- a/box/peer/link.go
+++ b/box/peer/link.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Errors of a link.
+// The errors of a link.
 var (
-	// ErrUnresponsive says that the other box does not answer; the call may have
+	// ErrUnresponsive means that the other box does not respond; the call may have
 	// reached it.
-	ErrUnresponsive = errors.New("the box does not answer")
-	// ErrUnreachable says that no connection could be made.
-	ErrUnreachable = errors.New("the box cannot be reached")
+	ErrUnresponsive = errors.New("the box does not respond")
+	// ErrUnreachable means that no connection could be made.
+	ErrUnreachable = errors.New("the box is unreachable")
 )
 
 const (
@@ -30,14 +30,14 @@
 type LinkOptions struct {
 	// Address is the other box's peer address.
 	Address string
-	// Dial opens a connection; nil means TCP. Tests put delays and cuts here.
+	// Dial opens a connection; nil means TCP. Tests inject delays and faults here.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// PingTimeout is how long a ping may go unanswered; 0 means 80 ms.
+	// PingTimeout is how long to wait for the answer to a ping; 0 means 80 ms.
 	PingTimeout time.Duration
 }
 
-// Link is a connection to one other box, made when it is first needed and made
-// anew after it broke. It is safe for concurrent use.
+// Link is a connection to one other box. It connects on first use and reconnects
+// after the connection broke. It is safe for concurrent use.
 type Link struct {
 	options LinkOptions
 	mu      sync.Mutex
@@ -55,7 +55,7 @@
 	once    sync.Once
 }
 
-// NewLink makes a link; it does not connect yet.
+// NewLink returns a link that is not connected yet.
 func NewLink(o LinkOptions) *Link {
 	if o.Dial == nil {
 		o.Dial = dialTCP
@@ -71,11 +71,11 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Sent counts messages and bytes sent on this link.
+// Sent returns the numbers of messages and bytes sent on this link.
 func (l *Link) Sent() (messages, bytes uint64) { return l.sent.Load(), l.bytes.Load() }
 
 // Call makes a call and waits for its answer. The error is ErrUnreachable (not
-// sent), ErrSilent, the end of ctx, or the other box's own error.
+// sent), ErrUnresponsive, the error of ctx, or an error that the other box returned.
 func (l *Link) Call(ctx context.Context, method string, args, reply any) error {
 	s, err := l.connect(ctx)
 	if err != nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Send makes a call without waiting for its answer. It reports whether there
-// is a connection to send it on.
+// Send makes a call without waiting for its answer. It returns an error only if no
+// connection could be made.
 func (l *Link) Send(ctx context.Context, method string, args any) error {
 	s, err := l.connect(ctx)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// checkError drops a session whose connection broke.
+// checkError drops the session if err means that its connection broke.
 func (l *Link) checkError(s *session, err error) error {
 	var remote rpc.ServerError
 	if err == nil || errors.As(err, &remote) {
@@ -139,7 +139,7 @@
 	return s, nil
 }
 
-// drop closes a session; the next call connects anew.
+// drop closes a session; the next call reconnects.
 func (l *Link) drop(s *session) {
 	l.mu.Lock()
 	if l.session == s {
@@ -149,7 +149,7 @@
 	s.close()
 }
 
-// Close ends the link's connection, if any.
+// Close closes the link's connection, if any.
 func (l *Link) Close() {
 	l.mu.Lock()
 	s := l.session
@@ -177,7 +177,7 @@
 
 func (s *session) callEnded() { s.pending.Add(-1) }
 
-// monitor pings while calls are outstanding and drops a session that is silent.
+// monitor pings while calls are outstanding and drops an unresponsive session.
 func (l *Link) monitor(s *session) {
 	for {
 		select {
@@ -224,7 +224,7 @@
 	}
 }
 
-// countedConn counts the bytes written.
+// countedConn counts the bytes written to a connection.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Uint64
--- a/box/peer/peer.go
+++ b/box/peer/peer.go
@@ -1,17 +1,18 @@
 // Package peer is the protocol between boxes: net/rpc over TCP with typed
-// messages. A Link is one box's connection to another; it tells a silent box,
-// frozen or cut off, from a slow answer by pinging while calls are outstanding.
+// messages. A Link is one box's connection to another; it distinguishes a box that
+// is suspended or partitioned from a slow answer by pinging while calls are
+// outstanding.
 //
-// It owns the messages, whose exported fields are their form on the wire, and the
-// liveness of a link. It relies on both ends being of versions that know each other's
-// fields; it is not authenticated.
+// It owns the messages, whose exported fields are their wire format, and the
+// liveness check of a link. It relies on both ends running versions that know each
+// other's fields; it is not authenticated.
 //
 // # Usage
 //
 //	link := peer.NewLink(peer.LinkOptions{Address: "10.0.0.3:8100"})
 //	var reply peer.AskReply
 //	err := link.Call(ctx, peer.MethodAsk, peer.AskArgs{Service: "preview"}, &reply)
-//	if errors.Is(err, peer.ErrSilent) { /* ask the next home */ }
+//	if errors.Is(err, peer.ErrUnresponsive) { /* try the next home */ }
 package peer
 
 import (
@@ -39,7 +40,7 @@
 // Empty is a message without content.
 type Empty struct{}
 
-// AskArgs asks the home of a service for slots.
+// AskArgs requests slots from the home of a service.
 type AskArgs struct {
 	Service string
 	ID      string
@@ -53,11 +54,11 @@
 	Usual       time.Duration
 	Avoid       []string
 	SpareOnly   bool
-	// Count is how many slots are asked for; today always 1.
+	// Count is how many slots are requested; currently always 1.
 	Count int
 }
 
-// AskReply answers an ask; it comes once the ask is granted or refused.
+// AskReply answers AskArgs; it is sent once the request is granted or refused.
 type AskReply struct {
 	State      ledger.State
 	Target     string
@@ -67,58 +68,58 @@
 	Waited     time.Duration
 }
 
-// Returned is one slot that goes back to its home.
+// Returned is one slot that is returned to its home.
 type Returned struct {
 	Service string
 	ID      string
 	Outcome ledger.Outcome
 }
 
-// ReturnArgs carries the slots that a box gives back.
+// ReturnArgs lists the slots that a box returns.
 type ReturnArgs struct {
 	Box      string
 	Returned []Returned
 }
 
-// ReconcileArgs names all that a box holds of a service.
+// ReconcileArgs lists all the grants of a service that a box holds.
 type ReconcileArgs struct {
 	Box     string
 	Service string
 	Held    []ledger.HeldGrant
-	// New says that the box has not had the other as its home before.
+	// New is whether the receiver has just become the home for the box.
 	New bool
-	// ProbeTime hands over the box's share of each target's measuring budget.
+	// ProbeTime transfers the box's share of the probe budget of each target.
 	ProbeTime map[string]time.Duration
 }
 
-// LeavingTarget is a target that takes no new work in its current life.
+// LeavingTarget is a target that accepts no new requests in its current incarnation.
 type LeavingTarget struct {
 	Address string
 	Start   uint64
 }
 
-// ExchangeArgs is what boxes tell each other regularly.
+// ExchangeArgs is the update that boxes send each other regularly.
 type ExchangeArgs struct {
 	Self member.Box
 	// Digest is equal where the same configuration is in force.
 	Digest  uint64
 	Leaving []LeavingTarget
-	// Boxes names a few others, so that a box whose list lags hears of them.
+	// Boxes lists a few other boxes, so that a box with an outdated list learns of them.
 	Boxes []member.Box
 }
 
-// ExchangeReply is the same news, the other way.
+// ExchangeReply is the same update in the opposite direction.
 type ExchangeReply = ExchangeArgs
 
-// SyncArgs names the versions that are in force at the caller and carries the
-// entries that the other box is known to lack.
+// SyncArgs lists the versions that are in force at the caller and the entries that
+// the other box is known to lack.
 type SyncArgs struct {
 	Versions map[string]uint64
 	Entries  []accepted.Entry
 }
 
-// SyncReply carries the entries that the caller lacks and the versions of the
-// box that answers.
+// SyncReply lists the entries that the caller lacks and the versions of the
+// answering box.
 type SyncReply struct {
 	Versions map[string]uint64
 	Entries  []accepted.Entry
--- a/box/peer/peer_test.go
+++ b/box/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"github.com/sprucecrank/sprucecrank/box/peer"
 )
 
-// startServer runs a server whose asks wait for the release.
+// startServer runs a server whose Ask handler blocks until release is closed.
 func startServer(t testing.TB, release <-chan struct{}) string {
 	s, err := peer.NewServer(peer.Handlers{
 		Ask: func(a peer.AskArgs) peer.AskReply {
@@ -49,8 +49,8 @@
 	g.Expect(reply.Target).To(Equal("a"))
 }
 
-// stallingConn passes nothing on any more once it is stalled, like the
-// connection to a frozen box.
+// stallingConn delivers nothing once it is stalled, like the connection to a
+// suspended box.
 type stallingConn struct {
 	net.Conn
 	stalled chan struct{}
@@ -61,7 +61,7 @@
 	n, err := c.Conn.Read(b)
 	select {
 	case <-c.stalled:
-		select {} // the answer never comes
+		select {} // the answer is never delivered
 	default:
 		return n, err
 	}
@@ -86,7 +86,7 @@
 	g.Expect(errors.Is(err, peer.ErrUnresponsive)).To(BeTrue(), "%v", err)
 }
 
-// FuzzServer sends any bytes to a box's peer address: it must go on serving.
+// FuzzServer sends arbitrary bytes to a box's peer address: it must continue to serve.
 func FuzzServer(f *testing.F) {
 	release := make(chan struct{})
 	close(release)
--- a/box/peer/server.go
+++ b/box/peer/server.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Handlers are what a box does with its peers' messages. Each is called on a
-// goroutine of its own and may block.
+// Handlers handle the messages of a box's peers. Each is called on a goroutine of
+// its own and may block.
 type Handlers struct {
 	Ask       func(AskArgs) AskReply
 	Return    func(ReturnArgs)
@@ -17,7 +17,7 @@
 	Sync      func(SyncArgs) SyncReply
 }
 
-// Server serves a box's peers.
+// Server serves the calls of a box's peers.
 type Server struct {
 	rpc    *rpc.Server
 	mu     sync.Mutex
@@ -26,10 +26,10 @@
 	bytes  atomic.Uint64
 }
 
-// Sent counts the bytes of all answers.
+// Sent returns the number of bytes of all answers.
 func (s *Server) Sent() uint64 { return s.bytes.Load() }
 
-// NewServer makes a server of the given handlers.
+// NewServer returns a server that calls the given handlers.
 func NewServer(h Handlers) (*Server, error) {
 	s := &Server{rpc: rpc.NewServer(), conns: map[net.Conn]bool{}}
 	if err := s.rpc.RegisterName(ServiceName, &methods{h: h}); err != nil {
@@ -72,7 +72,7 @@
 	delete(s.conns, c)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,37 +82,37 @@
 	}
 }
 
-// methods is the net/rpc form of Handlers.
+// methods adapts Handlers to net/rpc.
 type methods struct{ h Handlers }
 
-// Ping answers that the box lives.
+// Ping returns at once; an answer shows that the box is responsive.
 func (m *methods) Ping(Empty, *Empty) error { return nil }
 
-// Ask answers once the ask is granted or refused.
+// Ask returns once the request for a slot is granted or refused.
 func (m *methods) Ask(a AskArgs, r *AskReply) error {
 	*r = m.h.Ask(a)
 	return nil
 }
 
-// Return takes slots back.
+// Return receives slots that a box returns.
 func (m *methods) Return(a ReturnArgs, _ *Empty) error {
 	m.h.Return(a)
 	return nil
 }
 
-// Reconcile takes in what a box holds.
+// Reconcile receives the grants that a box holds.
 func (m *methods) Reconcile(a ReconcileArgs, _ *Empty) error {
 	m.h.Reconcile(a)
 	return nil
 }
 
-// Exchange swaps news.
+// Exchange receives an update and returns one.
 func (m *methods) Exchange(a ExchangeArgs, r *ExchangeReply) error {
 	*r = m.h.Exchange(a)
 	return nil
 }
 
-// Sync swaps configuration.
+// Sync exchanges configuration entries.
 func (m *methods) Sync(a SyncArgs, r *SyncReply) error {
 	*r = m.h.Sync(a)
 	return nil
