--- a/box/admin.go
+++ b/box/admin.go
@@ -113,7 +113,7 @@
 	self := b.members.Self()
 	s := Status{
 		ID: self.ID, Hall: self.Hall, Start: self.Start,
-		Ready: b.follower.IsReady(), Draining: b.draining.Load(), InFlight: b.broker.Held(),
+		Ready: b.follower.IsReady(), Draining: b.draining.Load(), InFlight: b.broker.HeldCount(),
 		Boxes: b.members.Boxes(), PlatformCalls: CallsStatus{Reads: reads, Writes: writes},
 		PeerMessages: messages, PeerBytes: bytes + b.peers.Sent(),
 	}
--- a/box/box.go
+++ b/box/box.go
@@ -227,7 +227,7 @@
 }
 
 func (b *Box) handleAsk(a peer.AskArgs) peer.AskReply {
-	d := b.home.Ask(context.Background(), a.Service, grant.LedgerAsk(b.options.Clock(), a))
+	d := b.home.Ask(context.Background(), a.Service, grant.SlotRequest(b.options.Clock(), a))
 	return peer.AskReply{
 		State: d.State, Target: d.Target, HedgeAfter: d.HedgeAfter,
 		Reason: d.Reason, RetryAfter: d.RetryAfter, Waited: d.Waited,
--- a/box/run.go
+++ b/box/run.go
@@ -92,7 +92,7 @@
 func (b *Box) duties() []lifecycle.Duty {
 	return []lifecycle.Duty{
 		b.follower.Starter, b.follower.Watcher, b.follower.Exchanger, b.follower.Lister,
-		b.broker.Returner, b.runner.Recorder, b.cleaner().Run, b.prober.Run,
+		b.broker.RunReturns, b.runner.Recorder, b.cleaner().Run, b.prober.Run,
 		b.tick,
 		pause.Every(reconcileEvery, b.broker.ReconcileAll),
 		pause.Every(handOverEvery, b.handOver),
@@ -136,7 +136,7 @@
 // worth measuring.
 func (b *Box) handOver(context.Context) {
 	for service, tokens := range b.prober.Take(handOverMost) {
-		b.broker.HandOver(service, tokens)
+		b.broker.TransferProbeTime(service, tokens)
 	}
 }
 
--- a/internal/box/follow/exchange.go
+++ b/internal/box/follow/exchange.go
@@ -35,7 +35,7 @@
 	defer cancel()
 	var reply peer.ExchangeReply
 	if err := link.Call(callCtx, peer.MethodExchange, f.news(), &reply); err != nil {
-		f.options.Members.Fail(b.ID)
+		f.options.Members.MarkUnresponsive(b.ID)
 		return
 	}
 	f.takeNews(reply)
@@ -65,7 +65,7 @@
 func (f *Follower) takeNews(n peer.ExchangeArgs) {
 	f.options.Members.Observe(n.Self)
 	for _, b := range n.Boxes {
-		f.options.Members.Learn(b)
+		f.options.Members.Merge(b)
 	}
 	for _, t := range n.Leaving {
 		f.options.Home.Leave(t.Address, t.Start)
--- a/internal/box/grant/grant.go
+++ b/internal/box/grant/grant.go
@@ -31,15 +31,15 @@
 )
 
 const (
-	// mostHomes is how many boxes are asked before the own ledger decides.
-	mostHomes  = 3
-	returnRing = 8192
-	returnMost = 64
-	// recentlyUsed is how long after its last ask a home is still told what
+	// maxHomes is how many boxes are asked before the own ledger decides.
+	maxHomes        = 3
+	returnQueueSize = 8192
+	maxReturnBatch  = 64
+	// recentUse is how long after its last ask a home is still told what
 	// the box holds.
-	recentlyUsed = 5 * time.Second
+	recentUse = 5 * time.Second
 
-	reconcilePatience = time.Second
+	reconcileTimeout = time.Second
 )
 
 // Request is what a request needs a slot for.
@@ -86,13 +86,13 @@
 // Broker is the asking side of a box. It is safe for concurrent use.
 type Broker struct {
 	options Options
-	returns *ring.Ring[toReturn]
+	returns *ring.Ring[pendingReturn]
 	mu      sync.Mutex
 	held    map[string]map[string]heldSlot // by service and grant
 	homes   map[string]usedHome            // by service
 }
 
-type toReturn struct {
+type pendingReturn struct {
 	home     string
 	returned peer.Returned
 }
@@ -112,7 +112,7 @@
 func New(o Options) *Broker {
 	return &Broker{
 		options: o,
-		returns: ring.New[toReturn](returnRing),
+		returns: ring.New[pendingReturn](returnQueueSize),
 		held:    map[string]map[string]heldSlot{},
 		homes:   map[string]usedHome{},
 	}
@@ -137,17 +137,17 @@
 }
 
 func (b *Broker) acquire(ctx context.Context, r Request) (*Slot, *verdict.Error) {
-	for range mostHomes {
+	for range maxHomes {
 		at := b.HomeOf(r.Service)
 		if at.ID == b.options.Members.Self().ID {
 			break
 		}
-		slot, failure, ok := b.askHome(ctx, at, r)
+		slot, failure, ok := b.acquireFromHome(ctx, at, r)
 		if ok {
 			return slot, failure
 		}
 	}
-	return b.askSelf(ctx, r)
+	return b.acquireLocally(ctx, r)
 }
 
 // HomeOf works out the home of a service, in the hall with most of its targets.
@@ -155,23 +155,23 @@
 	return b.options.Members.Home(s.Name, s.MainHall())
 }
 
-// askHome asks another box; ok is false when the next one should be asked.
-func (b *Broker) askHome(ctx context.Context, at member.Box, r Request) (*Slot, *verdict.Error, bool) {
-	b.use(r.Service.Name, at)
+// acquireFromHome asks another box; ok is false when the next one should be asked.
+func (b *Broker) acquireFromHome(ctx context.Context, at member.Box, r Request) (*Slot, *verdict.Error, bool) {
+	b.recordHome(r.Service.Name, at)
 	id := uuid.NewString()
 	var reply peer.AskReply
 	err := b.options.Members.Link(at).Call(ctx, peer.MethodAsk, b.askArgs(id, r), &reply)
 	switch {
 	case ctx.Err() != nil:
-		b.giveBack(at.ID, r.Service.Name, id)
-		return nil, ended(ctx), true
+		b.returnUnused(at.ID, r.Service.Name, id)
+		return nil, contextFailure(ctx), true
 	case err != nil:
 		b.options.Log.Warn("home does not answer", "service", r.Service.Name, "home", at.ID, "error", err)
-		b.options.Members.Fail(at.ID)
-		b.giveBack(at.ID, r.Service.Name, id)
+		b.options.Members.MarkUnresponsive(at.ID)
+		b.returnUnused(at.ID, r.Service.Name, id)
 		return nil, nil, false
 	case reply.Reason == verdict.ReasonMoved:
-		b.options.Members.Leaving(at.ID)
+		b.options.Members.MarkLeaving(at.ID)
 		return nil, nil, false
 	case reply.Reason == verdict.ReasonNoService:
 		return nil, nil, false
@@ -183,7 +183,7 @@
 		},
 		Waited: reply.Waited,
 	}
-	slot, failure := b.take(at.ID, id, r, d)
+	slot, failure := b.resolve(at.ID, id, r, d)
 	return slot, failure, true
 }
 
@@ -198,19 +198,19 @@
 	}
 }
 
-func (b *Broker) askSelf(ctx context.Context, r Request) (*Slot, *verdict.Error) {
+func (b *Broker) acquireLocally(ctx context.Context, r Request) (*Slot, *verdict.Error) {
 	id := uuid.NewString()
 	args := b.askArgs(id, r)
-	d := b.options.Home.Ask(ctx, r.Service.Name, LedgerAsk(b.options.Clock(), args))
+	d := b.options.Home.Ask(ctx, r.Service.Name, SlotRequest(b.options.Clock(), args))
 	if ctx.Err() != nil {
 		b.options.Home.Return(r.Service.Name, id, ledger.Outcome{Result: health.Unused})
-		return nil, ended(ctx)
+		return nil, contextFailure(ctx)
 	}
-	return b.take(b.options.Members.Self().ID, id, r, d)
+	return b.resolve(b.options.Members.Self().ID, id, r, d)
 }
 
-// LedgerAsk turns a peer's ask into the ledger's form.
-func LedgerAsk(now time.Time, a peer.AskArgs) ledger.SlotRequest {
+// SlotRequest turns a peer's ask into the ledger's form.
+func SlotRequest(now time.Time, a peer.AskArgs) ledger.SlotRequest {
 	return ledger.SlotRequest{
 		ID: a.ID, Box: a.Box, Hall: a.Hall, Kind: a.Kind, Weight: a.Weight,
 		Deadline: now.Add(a.Remaining), LongestWait: a.LongestWait, Usual: a.Usual,
@@ -218,8 +218,8 @@
 	}
 }
 
-// take turns a decision into a slot or a failure.
-func (b *Broker) take(homeID, id string, r Request, d home.Decision) (*Slot, *verdict.Error) {
+// resolve turns a decision into a slot or a failure.
+func (b *Broker) resolve(homeID, id string, r Request, d home.Decision) (*Slot, *verdict.Error) {
 	if d.State != ledger.Granted {
 		return nil, refusal(d)
 	}
@@ -227,7 +227,7 @@
 		id: id, service: r.Service.Name, target: d.Target, home: homeID,
 		hedgeAfter: d.HedgeAfter, waited: d.Waited, at: b.options.Clock(),
 	}
-	b.hold(slot, r.Kind.Name)
+	b.addHeld(slot, r.Kind.Name)
 	return slot, nil
 }
 
@@ -244,7 +244,7 @@
 	return verdict.New(verdict.NotRun, d.Reason, refusals[d.Reason]).WithRetryAfter(d.RetryAfter)
 }
 
-func ended(ctx context.Context) *verdict.Error {
+func contextFailure(ctx context.Context) *verdict.Error {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return verdict.New(verdict.NotRun, verdict.ReasonDeadline, "no target was free before the deadline").WithRetryAfter(time.Second)
 	}
--- a/internal/box/grant/grant_test.go
+++ b/internal/box/grant/grant_test.go
@@ -18,7 +18,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/box/home"
 )
 
-var look = &policy.Service{Name: "look", MaxQueue: 10, Targets: []policy.Target{{Address: "t0", Hall: "north", Slots: 3}}}
+var testService = &policy.Service{Name: "look", MaxQueue: 10, Targets: []policy.Target{{Address: "t0", Hall: "north", Slots: 3}}}
 
 // newBroker makes the broker of a box whose service has another box as home;
 // that box answers asks by ask.
@@ -37,15 +37,15 @@
 	members.SetList([]member.Box{{ID: "home", Hall: "north", Peer: l.Addr().String()}})
 	t.Cleanup(members.Close)
 	own := home.New(home.Options{Clock: time.Now, Random: func() float64 { return 0.5 }})
-	own.Configure([]*policy.Service{look})
+	own.Configure([]*policy.Service{testService})
 	return grant.New(grant.Options{Members: members, Home: own, Clock: time.Now, Log: slog.New(slog.DiscardHandler)}), own
 }
 
 func request() grant.Request {
-	return grant.Request{Service: look, Kind: &policy.Kind{Name: "k", Weight: 1, DeadlineMS: 1000}, Deadline: time.Now().Add(time.Second)}
+	return grant.Request{Service: testService, Kind: &policy.Kind{Name: "k", Weight: 1, DeadlineMS: 1000}, Deadline: time.Now().Add(time.Second)}
 }
 
-func TestAHomeThatKnowsOfANewLifeIsBelieved(t *testing.T) {
+func TestTargetThatTheHomeGrantsTwiceIsUsedAlthoughKnownAsLeaving(t *testing.T) {
 	g := NewWithT(t)
 	var asks atomic.Int64
 	broker, own := newBroker(t, func(peer.AskArgs) peer.AskReply {
@@ -61,7 +61,7 @@
 	g.Expect(asks.Load()).To(Equal(int64(2)))
 }
 
-func TestTheOwnLedgerDecidesWhenNoHomeAnswers(t *testing.T) {
+func TestOwnLedgerDecidesWhenTheHomeIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	broker, _ := newBroker(t, func(peer.AskArgs) peer.AskReply { select {} })
 	// The stand-in answers pings, so only the deadline ends this ask.
@@ -72,7 +72,7 @@
 	gone := grant.NewMembers(member.Box{ID: "self"}, time.Now, nil)
 	gone.SetList([]member.Box{{ID: "home", Hall: "north", Peer: "127.0.0.1:1"}})
 	own := home.New(home.Options{Clock: time.Now, Random: func() float64 { return 0.5 }})
-	own.Configure([]*policy.Service{look})
+	own.Configure([]*policy.Service{testService})
 	alone := grant.New(grant.Options{Members: gone, Home: own, Clock: time.Now, Log: slog.New(slog.DiscardHandler)})
 	slot, failure := alone.Acquire(t.Context(), request())
 	g.Expect(failure).To(BeNil())
--- a/internal/box/grant/holds.go
+++ b/internal/box/grant/holds.go
@@ -10,7 +10,7 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-func (b *Broker) hold(s *Slot, kind string) {
+func (b *Broker) addHeld(s *Slot, kind string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.held[s.service] == nil {
@@ -19,15 +19,15 @@
 	b.held[s.service][s.id] = heldSlot{HeldGrant: ledger.HeldGrant{ID: s.id, Target: s.target, Kind: kind}, at: s.at}
 }
 
-func (b *Broker) unhold(s *Slot) {
+func (b *Broker) removeHeld(s *Slot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.held[s.service], s.id)
 }
 
-// use notes which home a service has; a new one is told at once what the box
+// recordHome notes which home a service has; a new one is told at once what the box
 // holds, so that it does not promise those slots again.
-func (b *Broker) use(service string, at member.Box) {
+func (b *Broker) recordHome(service string, at member.Box) {
 	b.mu.Lock()
 	last := b.homes[service]
 	b.homes[service] = usedHome{id: at.ID, start: at.Start, at: b.options.Clock()}
@@ -38,8 +38,8 @@
 	}
 }
 
-// HandOver gives measuring budget to the home of a service.
-func (b *Broker) HandOver(s *policy.Service, tokens map[string]time.Duration) {
+// TransferProbeTime gives measuring budget to the home of a service.
+func (b *Broker) TransferProbeTime(s *policy.Service, tokens map[string]time.Duration) {
 	if len(tokens) > 0 {
 		b.reconcile(peer.ReconcileArgs{Service: s.Name, ProbeTime: tokens}, b.HomeOf(s).ID)
 	}
@@ -52,13 +52,13 @@
 		return
 	}
 	args.Box = b.options.Members.Self().ID
-	args.Held = b.heldOf(args.Service)
-	ctx, cancel := context.WithTimeout(context.Background(), reconcilePatience)
+	args.Held = b.heldGrants(args.Service)
+	ctx, cancel := context.WithTimeout(context.Background(), reconcileTimeout)
 	defer cancel()
 	_ = b.options.Members.Link(at).Send(ctx, peer.MethodReconcile, args)
 }
 
-func (b *Broker) heldOf(service string) []ledger.HeldGrant {
+func (b *Broker) heldGrants(service string) []ledger.HeldGrant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.options.Clock()
@@ -83,15 +83,15 @@
 	now := b.options.Clock()
 	out := map[string]string{}
 	for service, used := range b.homes {
-		if len(b.held[service]) > 0 || now.Sub(used.at) < recentlyUsed {
+		if len(b.held[service]) > 0 || now.Sub(used.at) < recentUse {
 			out[service] = used.id
 		}
 	}
 	return out
 }
 
-// Held is how many slots the box holds now.
-func (b *Broker) Held() int {
+// HeldCount is how many slots the box holds now.
+func (b *Broker) HeldCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
--- a/internal/box/grant/members.go
+++ b/internal/box/grant/members.go
@@ -62,22 +62,22 @@
 	}
 }
 
-// Learn takes in news of one box.
-func (m *Members) Learn(b member.Box) {
+// Merge takes in news of one box.
+func (m *Members) Merge(b member.Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Learn(m.clock(), b)
 }
 
-// Leaving notes that a box said that it leaves.
-func (m *Members) Leaving(id string) {
+// MarkLeaving notes that a box said that it leaves.
+func (m *Members) MarkLeaving(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Leave(m.clock(), id)
 }
 
-// Fail notes that a box did not answer.
-func (m *Members) Fail(id string) {
+// MarkUnresponsive notes that a box did not answer.
+func (m *Members) MarkUnresponsive(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Fail(m.clock(), id)
--- a/internal/box/grant/returns.go
+++ b/internal/box/grant/returns.go
@@ -11,7 +11,7 @@
 // Release gives a slot back with its outcome, to the home that granted it and
 // to the one that has adopted it since.
 func (b *Broker) Release(s *Slot, o ledger.Outcome) {
-	b.unhold(s)
+	b.removeHeld(s)
 	self := b.options.Members.Self().ID
 	if o.Leaving {
 		b.options.Home.Leave(s.target, o.Start)
@@ -32,19 +32,19 @@
 	return b.homes[service].id
 }
 
-func (b *Broker) giveBack(homeID, service, id string) {
+func (b *Broker) returnUnused(homeID, service, id string) {
 	b.push(homeID, peer.Returned{Service: service, ID: id, Outcome: ledger.Outcome{Result: health.Unused}})
 }
 
 // push queues a return. When the ring is full the return is dropped: the next
 // reconciliation tells the home that the slot is free.
 func (b *Broker) push(homeID string, r peer.Returned) {
-	b.returns.Push(toReturn{home: homeID, returned: r})
+	b.returns.Push(pendingReturn{home: homeID, returned: r})
 }
 
-// Returner is the duty that sends returned slots to their homes, those that
+// RunReturns is the duty that sends returned slots to their homes, those that
 // wait together in one message. It ends with ctx.
-func (b *Broker) Returner(ctx context.Context) error {
+func (b *Broker) RunReturns(ctx context.Context) error {
 	for {
 		first, err := b.returns.Pop(ctx)
 		if err != nil {
@@ -65,9 +65,9 @@
 	}
 }
 
-func (b *Broker) batch(first toReturn) map[string][]peer.Returned {
+func (b *Broker) batch(first pendingReturn) map[string][]peer.Returned {
 	batch := map[string][]peer.Returned{first.home: {first.returned}}
-	for range returnMost {
+	for range maxReturnBatch {
 		next, ok := b.returns.TryPop()
 		if !ok {
 			break
