--- a/internal/box/grant/grant.go
+++ b/internal/box/grant/grant.go
@@ -1,9 +1,9 @@
-// Package grant gets slots for the requests of a box and gives them back. It
-// asks the home of the service; when the home is silent it asks the next one,
-// and at last the box's own ledger.
+// Package grant acquires slots for the requests of a box and releases them. It
+// requests a slot from the home of the service. If the home does not respond, it
+// tries the next one, and finally the box's own ledger.
 //
-// It owns the slots that its box holds and names them to a new home. It relies on
-// homes by box/peer and, without any, on the own ledger.
+// It owns the slots that its box holds and reports them to a new home. It relies on
+// homes by box/peer and, if there are none, on the box's own ledger.
 //
 // # Usage
 //
@@ -31,28 +31,28 @@
 )
 
 const (
-	// maxHomes is how many boxes are asked before the own ledger decides.
+	// maxHomes is how many homes are tried before the own ledger decides.
 	maxHomes        = 3
 	returnQueueSize = 8192
 	maxReturnBatch  = 64
-	// recentUse is how long after its last ask a home is still told what
-	// the box holds.
+	// recentUse is how long after its last request for a slot a home still receives
+	// the list of grants that the box holds.
 	recentUse = 5 * time.Second
 
 	reconcileTimeout = time.Second
 )
 
-// Request is what a request needs a slot for.
+// Request describes a request that needs a slot.
 type Request struct {
 	Service *policy.Service
 	Kind    *policy.Kind
-	// Deadline is when the answer is no longer of use.
+	// Deadline is when the client no longer needs the answer.
 	Deadline  time.Time
 	Avoid     []string
 	SpareOnly bool
 }
 
-// Slot is a granted place at a target.
+// Slot is a granted slot of a target.
 type Slot struct {
 	id         string
 	service    string
@@ -69,7 +69,7 @@
 // Home is the box that granted the slot.
 func (s *Slot) Home() string { return s.home }
 
-// HedgeAfter is the kind's p95 so far; 0 when too little is known.
+// HedgeAfter is the p95 of the kind's recent durations; 0 when too few were measured.
 func (s *Slot) HedgeAfter() time.Duration { return s.hedgeAfter }
 
 // Waited is the time in the home's queue.
@@ -83,7 +83,7 @@
 	Log     *slog.Logger
 }
 
-// Broker is the asking side of a box. It is safe for concurrent use.
+// Broker acquires and releases slots for a box. It is safe for concurrent use.
 type Broker struct {
 	options Options
 	returns *ring.Ring[pendingReturn]
@@ -108,7 +108,7 @@
 	at    time.Time
 }
 
-// New makes a broker.
+// New returns a broker that holds no slots.
 func New(o Options) *Broker {
 	return &Broker{
 		options: o,
@@ -118,9 +118,10 @@
 	}
 }
 
-// Acquire waits for a slot. Its failure always has the verdict NotRun. A slot
-// at a target that this box knows to leave goes back with that word, and the
-// home is asked again; should it name the target again, it knows of a new life.
+// Acquire waits for a slot. Its failure always has the verdict NotRun. A slot of a
+// target that this box knows to be leaving is released with that information, and
+// a slot is requested again. If the home grants the same target once more, it knows
+// of a new incarnation, and the slot is used.
 func (b *Broker) Acquire(ctx context.Context, r Request) (*Slot, *verdict.Error) {
 	for {
 		slot, failure := b.acquire(ctx, r)
@@ -138,11 +139,11 @@
 
 func (b *Broker) acquire(ctx context.Context, r Request) (*Slot, *verdict.Error) {
 	for range maxHomes {
-		at := b.HomeOf(r.Service)
-		if at.ID == b.options.Members.Self().ID {
+		homeBox := b.HomeOf(r.Service)
+		if homeBox.ID == b.options.Members.Self().ID {
 			break
 		}
-		slot, failure, ok := b.acquireFromHome(ctx, at, r)
+		slot, failure, ok := b.acquireFromHome(ctx, homeBox, r)
 		if ok {
 			return slot, failure
 		}
@@ -150,28 +151,30 @@
 	return b.acquireLocally(ctx, r)
 }
 
-// HomeOf works out the home of a service, in the hall with most of its targets.
+// HomeOf determines the home of a service, preferably in the hall with most of its
+// targets.
 func (b *Broker) HomeOf(s *policy.Service) member.Box {
 	return b.options.Members.Home(s.Name, s.MainHall())
 }
 
-// acquireFromHome asks another box; ok is false when the next one should be asked.
-func (b *Broker) acquireFromHome(ctx context.Context, at member.Box, r Request) (*Slot, *verdict.Error, bool) {
-	b.recordHome(r.Service.Name, at)
+// acquireFromHome requests a slot from another box; ok is false when the next home
+// should be tried.
+func (b *Broker) acquireFromHome(ctx context.Context, homeBox member.Box, r Request) (*Slot, *verdict.Error, bool) {
+	b.recordHome(r.Service.Name, homeBox)
 	id := uuid.NewString()
 	var reply peer.AskReply
-	err := b.options.Members.Link(at).Call(ctx, peer.MethodAsk, b.askArgs(id, r), &reply)
+	err := b.options.Members.Link(homeBox).Call(ctx, peer.MethodAsk, b.askArgs(id, r), &reply)
 	switch {
 	case ctx.Err() != nil:
-		b.returnUnused(at.ID, r.Service.Name, id)
+		b.returnUnused(homeBox.ID, r.Service.Name, id)
 		return nil, contextFailure(ctx), true
 	case err != nil:
-		b.options.Log.Warn("home does not answer", "service", r.Service.Name, "home", at.ID, "error", err)
-		b.options.Members.MarkUnresponsive(at.ID)
-		b.returnUnused(at.ID, r.Service.Name, id)
+		b.options.Log.Warn("home does not answer", "service", r.Service.Name, "home", homeBox.ID, "error", err)
+		b.options.Members.MarkUnresponsive(homeBox.ID)
+		b.returnUnused(homeBox.ID, r.Service.Name, id)
 		return nil, nil, false
 	case reply.Reason == verdict.ReasonMoved:
-		b.options.Members.MarkLeaving(at.ID)
+		b.options.Members.MarkLeaving(homeBox.ID)
 		return nil, nil, false
 	case reply.Reason == verdict.ReasonNoService:
 		return nil, nil, false
@@ -183,7 +186,7 @@
 		},
 		Waited: reply.Waited,
 	}
-	slot, failure := b.resolve(at.ID, id, r, d)
+	slot, failure := b.resolve(homeBox.ID, id, r, d)
 	return slot, failure, true
 }
 
@@ -209,7 +212,7 @@
 	return b.resolve(b.options.Members.Self().ID, id, r, d)
 }
 
-// SlotRequest turns a peer's ask into the ledger's form.
+// SlotRequest converts a peer's AskArgs to the ledger's form.
 func SlotRequest(now time.Time, a peer.AskArgs) ledger.SlotRequest {
 	return ledger.SlotRequest{
 		ID: a.ID, Box: a.Box, Hall: a.Hall, Kind: a.Kind, Weight: a.Weight,
@@ -218,7 +221,7 @@
 	}
 }
 
-// resolve turns a decision into a slot or a failure.
+// resolve converts a decision to a slot or a failure.
 func (b *Broker) resolve(homeID, id string, r Request, d home.Decision) (*Slot, *verdict.Error) {
 	if d.State != ledger.Granted {
 		return nil, refusal(d)
--- a/internal/box/grant/grant_test.go
+++ b/internal/box/grant/grant_test.go
@@ -20,8 +20,8 @@
 
 var testService = &policy.Service{Name: "look", MaxQueue: 10, Targets: []policy.Target{{Address: "t0", Hall: "north", Slots: 3}}}
 
-// newBroker makes the broker of a box whose service has another box as home;
-// that box answers asks by ask.
+// newBroker returns the broker of a box that is not the home of the test service,
+// and the box's own ledgers. The home is a server that answers by ask.
 func newBroker(t *testing.T, ask func(peer.AskArgs) peer.AskReply) (*grant.Broker, *home.Home) {
 	s, err := peer.NewServer(peer.Handlers{Ask: ask, Return: func(peer.ReturnArgs) {}, Reconcile: func(peer.ReconcileArgs) {}})
 	if err != nil {
@@ -47,34 +47,34 @@
 
 func TestTargetThatTheHomeGrantsTwiceIsUsedAlthoughKnownAsLeaving(t *testing.T) {
 	g := NewWithT(t)
-	var asks atomic.Int64
+	var requests atomic.Int64
 	broker, own := newBroker(t, func(peer.AskArgs) peer.AskReply {
-		asks.Add(1)
+		requests.Add(1)
 		return peer.AskReply{State: ledger.Granted, Target: "t0"}
 	})
-	own.Leave("t0", 5) // the home has seen start number 6 already
+	own.Leave("t0", 5) // the home has already observed start number 6
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	slot, failure := broker.Acquire(ctx, request())
 	g.Expect(failure).To(BeNil())
 	g.Expect(slot.Target()).To(Equal("t0"))
-	g.Expect(asks.Load()).To(Equal(int64(2)))
+	g.Expect(requests.Load()).To(Equal(int64(2)))
 }
 
 func TestOwnLedgerDecidesWhenTheHomeIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	broker, _ := newBroker(t, func(peer.AskArgs) peer.AskReply { select {} })
-	// The stand-in answers pings, so only the deadline ends this ask.
+	// The server answers pings, so only the deadline ends this request.
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, failure := broker.Acquire(ctx, request())
 	g.Expect(failure.Reason()).To(BeEquivalentTo("deadline"))
-	gone := grant.NewMembers(member.Box{ID: "self"}, time.Now, nil)
-	gone.SetList([]member.Box{{ID: "home", Hall: "north", Peer: "127.0.0.1:1"}})
+	unreachable := grant.NewMembers(member.Box{ID: "self"}, time.Now, nil)
+	unreachable.SetList([]member.Box{{ID: "home", Hall: "north", Peer: "127.0.0.1:1"}})
 	own := home.New(home.Options{Clock: time.Now, Random: func() float64 { return 0.5 }})
 	own.Configure([]*policy.Service{testService})
-	alone := grant.New(grant.Options{Members: gone, Home: own, Clock: time.Now, Log: slog.New(slog.DiscardHandler)})
-	slot, failure := alone.Acquire(t.Context(), request())
+	isolated := grant.New(grant.Options{Members: unreachable, Home: own, Clock: time.Now, Log: slog.New(slog.DiscardHandler)})
+	slot, failure := isolated.Acquire(t.Context(), request())
 	g.Expect(failure).To(BeNil())
 	g.Expect(slot.Home()).To(Equal("self"))
 }
--- a/internal/box/grant/holds.go
+++ b/internal/box/grant/holds.go
@@ -25,29 +25,29 @@
 	delete(b.held[s.service], s.id)
 }
 
-// recordHome notes which home a service has; a new one is told at once what the box
-// holds, so that it does not promise those slots again.
-func (b *Broker) recordHome(service string, at member.Box) {
+// recordHome records the current home of a service. A new home is sent at once the
+// grants that the box holds, so that it does not grant those slots again.
+func (b *Broker) recordHome(service string, homeBox member.Box) {
 	b.mu.Lock()
 	last := b.homes[service]
-	b.homes[service] = usedHome{id: at.ID, start: at.Start, at: b.options.Clock()}
-	changed := (last.id != at.ID || last.start != at.Start) && len(b.held[service]) > 0
+	b.homes[service] = usedHome{id: homeBox.ID, start: homeBox.Start, at: b.options.Clock()}
+	changed := (last.id != homeBox.ID || last.start != homeBox.Start) && len(b.held[service]) > 0
 	b.mu.Unlock()
 	if changed {
-		b.reconcile(peer.ReconcileArgs{Service: service, New: true}, at.ID)
+		b.reconcile(peer.ReconcileArgs{Service: service, New: true}, homeBox.ID)
 	}
 }
 
-// TransferProbeTime gives measuring budget to the home of a service.
+// TransferProbeTime transfers unused probe budget to the home of a service.
 func (b *Broker) TransferProbeTime(s *policy.Service, tokens map[string]time.Duration) {
 	if len(tokens) > 0 {
 		b.reconcile(peer.ReconcileArgs{Service: s.Name, ProbeTime: tokens}, b.HomeOf(s).ID)
 	}
 }
 
-// reconcile sends the message to a home with all that the box holds.
+// reconcile sends args to a home with all the grants that the box holds.
 func (b *Broker) reconcile(args peer.ReconcileArgs, homeID string) {
-	at, ok := b.options.Members.Find(homeID)
+	homeBox, ok := b.options.Members.Find(homeID)
 	if !ok {
 		return
 	}
@@ -55,7 +55,7 @@
 	args.Held = b.heldGrants(args.Service)
 	ctx, cancel := context.WithTimeout(context.Background(), reconcileTimeout)
 	defer cancel()
-	_ = b.options.Members.Link(at).Send(ctx, peer.MethodReconcile, args)
+	_ = b.options.Members.Link(homeBox).Send(ctx, peer.MethodReconcile, args)
 }
 
 func (b *Broker) heldGrants(service string) []ledger.HeldGrant {
@@ -70,7 +70,7 @@
 	return out
 }
 
-// ReconcileAll tells every recently used home what the box holds.
+// ReconcileAll sends every recently used home the grants that the box holds.
 func (b *Broker) ReconcileAll(context.Context) {
 	for service, homeID := range b.recentHomes() {
 		b.reconcile(peer.ReconcileArgs{Service: service}, homeID)
@@ -90,13 +90,13 @@
 	return out
 }
 
-// HeldCount is how many slots the box holds now.
+// HeldCount is how many slots the box currently holds.
 func (b *Broker) HeldCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
-	for _, of := range b.held {
-		n += len(of)
+	for _, grants := range b.held {
+		n += len(grants)
 	}
 	return n
 }
--- a/internal/box/grant/members.go
+++ b/internal/box/grant/members.go
@@ -11,7 +11,7 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// Members is the box's view of the others, with a link to each. It is safe for
+// Members is the box's view of the other boxes, with a link to each. It is safe for
 // concurrent use.
 type Members struct {
 	mu    sync.Mutex
@@ -21,7 +21,7 @@
 	dial  func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// NewMembers makes the view of a box; dial may be nil for plain TCP.
+// NewMembers returns the view of a box; dial may be nil for plain TCP.
 func NewMembers(self member.Box, clock func() time.Time, dial func(context.Context, string) (net.Conn, error)) *Members {
 	return &Members{view: member.New(self), links: map[string]*peer.Link{}, clock: clock, dial: dial}
 }
@@ -33,14 +33,14 @@
 	return m.view.Self()
 }
 
-// SetLeaving notes that the box itself is leaving.
+// SetLeaving records that the box itself is leaving.
 func (m *Members) SetLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.SetLeaving()
 }
 
-// SetList takes in the platform's list of boxes.
+// SetList merges the platform's list of boxes.
 func (m *Members) SetList(boxes []member.Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +48,7 @@
 	m.closeUnused()
 }
 
-// closeUnused ends links to boxes that are no longer known.
+// closeUnused closes links to boxes that are no longer known.
 func (m *Members) closeUnused() {
 	known := map[string]bool{}
 	for _, b := range m.view.Boxes() {
@@ -62,42 +62,42 @@
 	}
 }
 
-// Merge takes in news of one box.
+// Merge merges an update about one box.
 func (m *Members) Merge(b member.Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Learn(m.clock(), b)
 }
 
-// MarkLeaving notes that a box said that it leaves.
+// MarkLeaving records that a box advertised that it is leaving.
 func (m *Members) MarkLeaving(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Leave(m.clock(), id)
 }
 
-// MarkUnresponsive notes that a box did not answer.
+// MarkUnresponsive records that a box did not respond.
 func (m *Members) MarkUnresponsive(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Fail(m.clock(), id)
 }
 
-// Observe takes in news of a box from itself.
+// Observe merges an update that a box sent about itself.
 func (m *Members) Observe(b member.Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Observe(m.clock(), b)
 }
 
-// Recent lists up to n boxes that were heard from lately.
+// Recent lists up to n boxes that recently sent an update.
 func (m *Members) Recent(n int) []member.Box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Recent(m.clock(), n)
 }
 
-// Prune forgets boxes that nobody has named for a while.
+// Prune removes boxes that no update has listed for a while.
 func (m *Members) Prune() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -105,21 +105,21 @@
 	m.closeUnused()
 }
 
-// Usable says whether a box may be asked now.
+// Usable reports whether a box may currently be called.
 func (m *Members) Usable(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Usable(m.clock(), id)
 }
 
-// Home works out the home of a service.
+// Home determines the home of a service.
 func (m *Members) Home(service, hall string) member.Box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Home(m.clock(), service, hall)
 }
 
-// Find looks a box up by id.
+// Find returns the box with an id.
 func (m *Members) Find(id string) (member.Box, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,14 +133,14 @@
 	return m.view.Boxes()
 }
 
-// Sample picks up to n other boxes at random.
+// Sample returns up to n other boxes, chosen at random.
 func (m *Members) Sample(random *rand.Rand, n int) []member.Box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Sample(random, n)
 }
 
-// Link is the connection to a box.
+// Link returns the link to a box and creates it on first use.
 func (m *Members) Link(b member.Box) *peer.Link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,7 +152,7 @@
 	return link
 }
 
-// Sent counts the messages and bytes sent to all boxes.
+// Sent returns the numbers of messages and bytes sent to all boxes.
 func (m *Members) Sent() (messages, bytes uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,7 +164,7 @@
 	return messages, bytes
 }
 
-// Close ends all links.
+// Close closes all links.
 func (m *Members) Close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/box/grant/returns.go
+++ b/internal/box/grant/returns.go
@@ -8,8 +8,8 @@
 	"github.com/sprucecrank/sprucecrank/core/box/ledger"
 )
 
-// Release gives a slot back with its outcome, to the home that granted it and
-// to the one that has adopted it since.
+// Release returns a slot with its outcome to the home that granted it and to the
+// one that has adopted it since.
 func (b *Broker) Release(s *Slot, o ledger.Outcome) {
 	b.removeHeld(s)
 	self := b.options.Members.Self().ID
@@ -21,8 +21,8 @@
 	} else {
 		b.push(s.home, peer.Returned{Service: s.service, ID: s.id, Outcome: o})
 	}
-	if now := b.usedHome(s.service); now != "" && now != s.home && now != self {
-		b.push(now, peer.Returned{Service: s.service, ID: s.id, Outcome: o})
+	if current := b.usedHome(s.service); current != "" && current != s.home && current != self {
+		b.push(current, peer.Returned{Service: s.service, ID: s.id, Outcome: o})
 	}
 }
 
@@ -37,13 +37,13 @@
 }
 
 // push queues a return. When the ring is full the return is dropped: the next
-// reconciliation tells the home that the slot is free.
+// reconciliation shows the home that the slot is free.
 func (b *Broker) push(homeID string, r peer.Returned) {
 	b.returns.Push(pendingReturn{home: homeID, returned: r})
 }
 
-// RunReturns is the duty that sends returned slots to their homes, those that
-// wait together in one message. It ends with ctx.
+// RunReturns sends returned slots to their homes until ctx ends. Returns that are
+// queued together are sent in one message for each home.
 func (b *Broker) RunReturns(ctx context.Context) error {
 	for {
 		first, err := b.returns.Pop(ctx)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Flush sends what still waits to be returned.
+// Flush sends the returns that are still queued.
 func (b *Broker) Flush(ctx context.Context) {
 	for {
 		first, ok := b.returns.TryPop()
@@ -79,11 +79,11 @@
 
 func (b *Broker) sendReturns(ctx context.Context, batch map[string][]peer.Returned) {
 	for homeID, returned := range batch {
-		at, ok := b.options.Members.Find(homeID)
+		homeBox, ok := b.options.Members.Find(homeID)
 		if !ok || !b.options.Members.Usable(homeID) {
-			continue // a home that is gone forgets its promises
+			continue // a home that is gone has lost its grants
 		}
 		args := peer.ReturnArgs{Box: b.options.Members.Self().ID, Returned: returned}
-		_ = b.options.Members.Link(at).Send(ctx, peer.MethodReturn, args)
+		_ = b.options.Members.Link(homeBox).Send(ctx, peer.MethodReturn, args)
 	}
 }
