--- a/core/box/budget/budget.go
+++ b/core/box/budget/budget.go
@@ -1,13 +1,13 @@
 // Package budget holds the two budgets that keep a failing service from being
-// buried: Time bounds how much of a target's time measuring may take, and Share
-// bounds retries and hedges to a part of the successes.
+// overloaded: TimeBudget bounds how much of a target's time probes may take, and
+// RetryBudget bounds retries and hedges to a share of the successes.
 //
-// It owns both budgets of one box. It relies on its caller for the time, does no I/O
-// and reads no clock.
+// It owns both budgets of one box. Its callers pass the time; it does no I/O and
+// reads no clock.
 //
 // # Usage
 //
-//	t := budget.NewTime(0.5, 20*time.Millisecond) // 0.5 ms a second
+//	t := budget.NewTimeBudget(0.5, 20*time.Millisecond) // 0.5 ms a second
 //	if t.Reserve(now, 20*time.Millisecond) {
 //		took := probe()
 //		t.Settle(20*time.Millisecond, took)
@@ -16,37 +16,38 @@
 
 import "time"
 
-// Time is a bucket of a target's time. It starts empty, so that a box that is
-// replaced again and again cannot mint any.
-type Time struct {
+// TimeBudget is a token bucket whose tokens are a target's time. It starts empty, so
+// that a box that is replaced repeatedly gains no tokens by it.
+type TimeBudget struct {
 	perSecond time.Duration
-	most      time.Duration
+	capacity  time.Duration
 	level     time.Duration
 	last      time.Time
 }
 
-// NewTime makes a bucket filled with perSecondMS milliseconds each second, up
-// to most.
-func NewTime(perSecondMS float64, most time.Duration) *Time {
-	return &Time{perSecond: time.Duration(perSecondMS * float64(time.Millisecond)), most: most}
+// NewTimeBudget returns an empty bucket that is refilled with perSecondMS
+// milliseconds each second, up to capacity.
+func NewTimeBudget(perSecondMS float64, capacity time.Duration) *TimeBudget {
+	return &TimeBudget{perSecond: time.Duration(perSecondMS * float64(time.Millisecond)), capacity: capacity}
 }
 
-// SetRate changes the rate; what is in the bucket stays.
-func (t *Time) SetRate(perSecondMS float64) {
+// SetRate changes the refill rate and keeps the level.
+func (t *TimeBudget) SetRate(perSecondMS float64) {
 	t.perSecond = time.Duration(perSecondMS * float64(time.Millisecond))
 }
 
-func (t *Time) fill(now time.Time) {
+func (t *TimeBudget) refill(now time.Time) {
 	if !t.last.IsZero() {
 		earned := time.Duration(now.Sub(t.last).Seconds() * float64(t.perSecond))
-		t.level = min(t.level+max(earned, 0), t.most)
+		t.level = min(t.level+max(earned, 0), t.capacity)
 	}
 	t.last = now
 }
 
-// Reserve takes the greatest cost that a probe may have, or reports false.
-func (t *Time) Reserve(now time.Time, cost time.Duration) bool {
-	t.fill(now)
+// Reserve takes cost, the maximum cost of a probe, from the bucket. It returns false
+// and takes nothing if the level is lower.
+func (t *TimeBudget) Reserve(now time.Time, cost time.Duration) bool {
+	t.refill(now)
 	if t.level < cost {
 		return false
 	}
@@ -54,50 +55,50 @@
 	return true
 }
 
-// Settle gives back what a probe did not use. A probe that took longer than
-// was reserved is charged for it.
-func (t *Time) Settle(reserved, took time.Duration) {
-	t.level = min(t.level+reserved-took, t.most)
+// Settle returns the unused part of a reservation to the bucket. A probe that took
+// longer than reserved is charged the difference.
+func (t *TimeBudget) Settle(reserved, took time.Duration) {
+	t.level = min(t.level+reserved-took, t.capacity)
 }
 
-// Take empties the bucket, to hand its content to another box.
-func (t *Time) Take(now time.Time) time.Duration {
-	t.fill(now)
-	taken := max(t.level, 0)
-	t.level -= taken
-	return taken
+// Drain empties the bucket and returns its content, to transfer it to another box.
+func (t *TimeBudget) Drain(now time.Time) time.Duration {
+	t.refill(now)
+	drained := max(t.level, 0)
+	t.level -= drained
+	return drained
 }
 
-// Add puts in what another box handed over.
-func (t *Time) Add(d time.Duration) { t.level = min(t.level+max(d, 0), t.most) }
+// Add adds what another box transferred.
+func (t *TimeBudget) Add(d time.Duration) { t.level = min(t.level+max(d, 0), t.capacity) }
 
-// Level is what the bucket holds.
-func (t *Time) Level(now time.Time) time.Duration {
-	t.fill(now)
+// Level is the content of the bucket.
+func (t *TimeBudget) Level(now time.Time) time.Duration {
+	t.refill(now)
 	return t.level
 }
 
-// Share lets extra tries be at most a share of the successes.
-type Share struct {
+// RetryBudget limits additional tries to a share of the successes.
+type RetryBudget struct {
 	perSuccess float64
-	most       float64
+	capacity   float64
 	level      float64
 }
 
-// NewShare makes a budget that earns perSuccess tries for each success and
-// holds at most most. It starts full, so that a quiet service can retry.
-func NewShare(perSuccess, most float64) *Share {
-	return &Share{perSuccess: perSuccess, most: most, level: most}
+// NewRetryBudget returns a budget that gains perSuccess tries for each success, up to
+// capacity. It starts full, so that a service with little traffic can retry.
+func NewRetryBudget(perSuccess, capacity float64) *RetryBudget {
+	return &RetryBudget{perSuccess: perSuccess, capacity: capacity, level: capacity}
 }
 
-// Earn notes a success.
-func (s *Share) Earn() { s.level = min(s.level+s.perSuccess, s.most) }
+// Earn records a success.
+func (b *RetryBudget) Earn() { b.level = min(b.level+b.perSuccess, b.capacity) }
 
-// Spend takes one try, or reports false.
-func (s *Share) Spend() bool {
-	if s.level < 1 {
+// Spend takes one try from the budget, or returns false if less than one is left.
+func (b *RetryBudget) Spend() bool {
+	if b.level < 1 {
 		return false
 	}
-	s.level--
+	b.level--
 	return true
 }
--- a/core/box/ledger/targets.go
+++ b/core/box/ledger/targets.go
@@ -6,72 +6,75 @@
 	"github.com/sprucecrank/sprucecrank/core/box/health"
 )
 
-// sawStart notes a target's start number. A greater one is a new life: cold,
-// and not leaving. The first one that is seen belongs to the life that an
-// earlier word of its leaving was about.
-func (t *target) sawStart(start uint64) {
+// observeStart records a target's start number. A greater one is a new
+// incarnation, which is cold and not leaving. The first number observed belongs
+// to the incarnation that an earlier report of its leaving referred to.
+func (t *target) observeStart(start uint64) {
 	if start <= t.start {
 		return
 	}
 	first := t.start == 0
 	t.start = start
 	switch {
-	case first && t.leaving && t.leftAt == 0:
-		t.leftAt = start
+	case first && t.leaving && t.leavingStart == 0:
+		t.leavingStart = start
 	case !first:
 		t.tracker.Restart()
 	}
-	if start > t.leftAt {
+	if start > t.leavingStart {
 		t.leaving = false
 	}
 }
 
-// Leave notes that a target leaves. start is its start number, 0 when the
-// source does not know it; it sticks until a greater one is seen.
-func (l *Ledger) Leave(address string, start uint64) {
+// MarkLeaving records that a target is leaving. start is its start number, 0 when
+// the source does not know it. The target stays leaving until a greater start
+// number is observed.
+func (l *Ledger) MarkLeaving(address string, start uint64) {
 	if t, ok := l.targets[address]; ok {
-		t.leave(start)
+		t.markLeaving(start)
 	}
 }
 
-func (t *target) leave(start uint64) {
+func (t *target) markLeaving(start uint64) {
 	if start == 0 {
 		start = t.start
 	}
 	if start < t.start {
-		return // old news of an earlier life
+		return // outdated, about an earlier incarnation
 	}
-	t.sawStart(start)
-	t.leftAt = max(t.leftAt, start)
+	t.observeStart(start)
+	t.leavingStart = max(t.leavingStart, start)
 	t.leaving = true
 }
 
-// saw notes what an answer of the target says of itself.
-func (t *target) saw(o Outcome) {
-	t.sawStart(o.Start)
+// observeOutcome records the start number and the leaving flag that the target
+// advertised in an answer.
+func (t *target) observeOutcome(o Outcome) {
+	t.observeStart(o.Start)
 	if o.Leaving {
-		t.leave(o.Start)
+		t.markLeaving(o.Start)
 	}
 }
 
-// SawStart notes a target's start number from elsewhere, such as the list.
-func (l *Ledger) SawStart(address string, start uint64) {
+// ObserveStart records a target's start number from another source than its
+// answers, such as the member list.
+func (l *Ledger) ObserveStart(address string, start uint64) {
 	if t, ok := l.targets[address]; ok {
-		t.sawStart(start)
+		t.observeStart(start)
 	}
 }
 
-// Probed takes in a probe's result.
-func (l *Ledger) Probed(now time.Time, address string, o Outcome) {
+// RecordProbe records the result of a probe.
+func (l *Ledger) RecordProbe(now time.Time, address string, o Outcome) {
 	t, ok := l.targets[address]
 	if !ok {
 		return
 	}
-	t.visited = now
-	t.saw(o)
+	t.lastContact = now
+	t.observeOutcome(o)
 	if o.Result != health.OK {
 		t.tracker.Observe(now, o.Result, o.Took, 0)
 	}
 	t.tracker.BackOff(now, o.BackOff)
-	l.serve(now)
+	l.serveQueue(now)
 }
--- a/internal/box/grant/holds.go
+++ b/internal/box/grant/holds.go
@@ -10,67 +10,67 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-func (b *Broker) hold(s *Slot, kind string) {
+func (b *Broker) addHeld(s *Slot, kind string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.held[s.service] == nil {
 		b.held[s.service] = map[string]heldSlot{}
 	}
-	b.held[s.service][s.id] = heldSlot{Held: ledger.Held{ID: s.id, Target: s.target, Kind: kind}, at: s.at}
+	b.held[s.service][s.id] = heldSlot{HeldGrant: ledger.HeldGrant{ID: s.id, Target: s.target, Kind: kind}, at: s.at}
 }
 
-func (b *Broker) unhold(s *Slot) {
+func (b *Broker) removeHeld(s *Slot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.held[s.service], s.id)
 }
 
-// use notes which home a service has; a new one is told at once what the box
-// holds, so that it does not promise those slots again.
-func (b *Broker) use(service string, at member.Box) {
+// recordHome records the current home of a service. A new home is sent at once the
+// grants that the box holds, so that it does not grant those slots again.
+func (b *Broker) recordHome(service string, homeBox member.Box) {
 	b.mu.Lock()
 	last := b.homes[service]
-	b.homes[service] = usedHome{id: at.ID, start: at.Start, at: b.options.Clock()}
-	changed := (last.id != at.ID || last.start != at.Start) && len(b.held[service]) > 0
+	b.homes[service] = usedHome{id: homeBox.ID, start: homeBox.Start, at: b.options.Clock()}
+	changed := (last.id != homeBox.ID || last.start != homeBox.Start) && len(b.held[service]) > 0
 	b.mu.Unlock()
 	if changed {
-		b.reconcile(peer.ReconcileArgs{Service: service, New: true}, at.ID)
+		b.reconcile(peer.ReconcileArgs{Service: service, New: true}, homeBox.ID)
 	}
 }
 
-// HandOver gives measuring budget to the home of a service.
-func (b *Broker) HandOver(s *policy.Service, tokens map[string]time.Duration) {
+// TransferProbeTime transfers unused probe budget to the home of a service.
+func (b *Broker) TransferProbeTime(s *policy.Service, tokens map[string]time.Duration) {
 	if len(tokens) > 0 {
 		b.reconcile(peer.ReconcileArgs{Service: s.Name, ProbeTime: tokens}, b.HomeOf(s).ID)
 	}
 }
 
-// reconcile sends the message to a home with all that the box holds.
+// reconcile sends args to a home with all the grants that the box holds.
 func (b *Broker) reconcile(args peer.ReconcileArgs, homeID string) {
-	at, ok := b.options.Members.Find(homeID)
+	homeBox, ok := b.options.Members.Find(homeID)
 	if !ok {
 		return
 	}
 	args.Box = b.options.Members.Self().ID
-	args.Held = b.heldOf(args.Service)
-	ctx, cancel := context.WithTimeout(context.Background(), reconcilePatience)
+	args.Held = b.heldGrants(args.Service)
+	ctx, cancel := context.WithTimeout(context.Background(), reconcileTimeout)
 	defer cancel()
-	_ = b.options.Members.Link(at).Send(ctx, peer.MethodReconcile, args)
+	_ = b.options.Members.Link(homeBox).Send(ctx, peer.MethodReconcile, args)
 }
 
-func (b *Broker) heldOf(service string) []ledger.Held {
+func (b *Broker) heldGrants(service string) []ledger.HeldGrant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.options.Clock()
-	out := make([]ledger.Held, 0, len(b.held[service]))
+	out := make([]ledger.HeldGrant, 0, len(b.held[service]))
 	for _, h := range b.held[service] {
 		h.For = now.Sub(h.at)
-		out = append(out, h.Held)
+		out = append(out, h.HeldGrant)
 	}
 	return out
 }
 
-// ReconcileAll tells every recently used home what the box holds.
+// ReconcileAll sends every recently used home the grants that the box holds.
 func (b *Broker) ReconcileAll(context.Context) {
 	for service, homeID := range b.recentHomes() {
 		b.reconcile(peer.ReconcileArgs{Service: service}, homeID)
@@ -83,20 +83,20 @@
 	now := b.options.Clock()
 	out := map[string]string{}
 	for service, used := range b.homes {
-		if len(b.held[service]) > 0 || now.Sub(used.at) < recentlyUsed {
+		if len(b.held[service]) > 0 || now.Sub(used.at) < recentUse {
 			out[service] = used.id
 		}
 	}
 	return out
 }
 
-// Held is how many slots the box holds now.
-func (b *Broker) Held() int {
+// HeldCount is how many slots the box currently holds.
+func (b *Broker) HeldCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
-	for _, of := range b.held {
-		n += len(of)
+	for _, grants := range b.held {
+		n += len(grants)
 	}
 	return n
 }
