--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -1,7 +1,7 @@
-// Package headers names the HTTP headers that a gateway, its clients and the
-// targets exchange, so that one data path serves deployments that spell them
-// differently (Names), and removes those that must not be passed on, for both
-// daemons (RemoveHopByHop).
+// Package headers holds the names of the HTTP headers that a gateway, its clients
+// and the targets exchange, so that one data path serves deployments that name them
+// differently (Names). For both daemons it also removes the headers that must not be
+// forwarded (RemoveHopByHop) and parses Retry-After (RetryAfter, BackOff).
 //
 // # Usage
 //
@@ -15,35 +15,37 @@
 	"strings"
 )
 
-// Names are the headers' names in canonical form.
+// Names holds the header names in canonical form.
 type Names struct {
-	// RequestID identifies one attempt of a client; targets repeat it.
+	// RequestID identifies one attempt of a client; targets echo it.
 	RequestID string
-	// Deadline is what the caller will still wait, in whole milliseconds.
+	// Deadline is the time for which the caller will still wait, in whole milliseconds.
 	Deadline string
 	// ExpectInstance names the only target that may run the request.
 	ExpectInstance string
-	// Instance is the id by which a target answers a health probe.
+	// Instance is the instance ID that a target returns in its response to a health probe.
 	Instance string
-	// Load is a target's load: running, waiting, slots, percent of usual time.
+	// Load is a target's load: requests running, requests waiting, slots, and latency in
+	// percent of the usual one.
 	Load string
-	// Limit is how many requests a second a target takes from all gateways together, in any
-	// answer of one that is in need.
+	// Limit is how many requests a second a target accepts from all gateways together. A
+	// target that needs such a limit sends it in any of its responses.
 	Limit string
-	// Warmup is for how much longer a target is cold, in milliseconds, in its health
-	// answers.
+	// Warmup is the time until a target has warmed up, in milliseconds. Targets send it in
+	// their responses to health probes.
 	Warmup string
-	// Leaving marks each answer of a target that drains and then ends, if its value is true.
+	// Leaving, if its value is true, marks each response of a target that drains and then
+	// shuts down.
 	Leaving string
-	// NotRun marks an answer of a target that did not run the request.
+	// NotRun marks a response of a target that did not run the request.
 	NotRun string
-	// Workspace tells a target whose request it gets.
+	// Workspace tells a target which workspace a request belongs to.
 	Workspace string
-	// KeyScheme is what stands before a key in the Authorization header.
+	// KeyScheme is the scheme that precedes a key in the Authorization header.
 	KeyScheme string
 }
 
-// Defaults are the product's own names.
+// Defaults returns the product's own header names.
 func Defaults() Names {
 	return Names{
 		RequestID:      "X-Request-Id",
@@ -60,14 +62,14 @@
 	}
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to one connection only (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop drops the headers of one connection, those that the
-// Connection header names among them.
+// RemoveHopByHop removes the headers that apply to one connection only, including
+// those that the Connection header lists.
 func RemoveHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/headers/retryafter.go
+++ b/internal/headers/retryafter.go
@@ -10,36 +10,38 @@
 	"time"
 )
 
-// retryAfter is the header by which the sender of an answer asks for a pause (RFC 9110, 10.2.3).
-const retryAfter = "Retry-After"
+// retryAfterHeader asks the recipient of a response to wait before the next request (RFC 9110, 10.2.3).
+const retryAfterHeader = "Retry-After"
 
-// MaxRetryAfter is the longest time that RetryAfter returns.
+// MaxRetryAfter is the longest duration that RetryAfter returns.
 const MaxRetryAfter = 365 * 24 * time.Hour
 
-var errRetryAfter = errors.New("Retry-After must be a number of seconds that is not negative, or a date")
+var errRetryAfter = errors.New("Retry-After must be a non-negative number of seconds or an HTTP date")
 
-// RetryAfter reads how long the sender of an answer asks to be sent nothing; 0 if it does not ask.
-// Fractions of a second are taken, too. A date counts from the answer's own Date, or from now where
-// it has none. Of several values the longest holds; it fails if there are any and none can be read.
+// RetryAfter returns the time for which the sender of a response asks to receive no requests, or 0 if
+// there is no Retry-After header. Fractions of a second are accepted. A date is relative to the
+// response's Date header, or to now if it has none. Of several values the longest applies. RetryAfter
+// returns an error if there are values but none can be parsed.
 func RetryAfter(h http.Header, now time.Time) (longest time.Duration, err error) {
-	read := false
-	for _, value := range h.Values(retryAfter) {
-		d, valueErr := parseRetryAfter(strings.TrimSpace(value), sentAt(h, now))
+	parsed := false
+	for _, value := range h.Values(retryAfterHeader) {
+		d, valueErr := parseRetryAfter(strings.TrimSpace(value), responseDate(h, now))
 		if valueErr != nil {
 			err = valueErr
 			continue
 		}
-		read = true
+		parsed = true
 		longest = max(longest, d)
 	}
-	if read {
+	if parsed {
 		return longest, nil
 	}
 	return 0, err
 }
 
-// BackOff reads how long a target asks to be sent nothing by its answer; 0 if it does not ask. Only a 503
-// speaks of the target: a 429 may be of the one caller whose request it was. It fails like RetryAfter.
+// BackOff returns the time for which a target asks to receive no requests, or 0 if it does not ask. Only
+// a 503 applies to the target as a whole: a 429 may apply only to the caller that sent the request. It
+// returns an error in the same cases as RetryAfter.
 func BackOff(r *http.Response, now time.Time) (time.Duration, error) {
 	if r.StatusCode != http.StatusServiceUnavailable {
 		return 0, nil
@@ -47,8 +49,9 @@
 	return RetryAfter(r.Header, now)
 }
 
-// sentAt is when an answer was sent by its sender's clock, which may differ from this one.
-func sentAt(h http.Header, now time.Time) time.Time {
+// responseDate returns when a response was sent by its sender's clock, which may differ from the local
+// one; now if the response has no valid Date header.
+func responseDate(h http.Header, now time.Time) time.Time {
 	if at, err := http.ParseTime(h.Get("Date")); err == nil {
 		return at
 	}
--- a/internal/headers/retryafter_test.go
+++ b/internal/headers/retryafter_test.go
@@ -10,7 +10,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/headers"
 )
 
-func TestRetryAfter(t *testing.T) {
+func TestRetryAfterAcceptsSecondsAndDatesUpToTheMaximum(t *testing.T) {
 	now := time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC)
 	at := func(d time.Duration) string { return now.Add(d).Format(http.TimeFormat) }
 	for name, c := range map[string]struct {
@@ -19,24 +19,24 @@
 		want   time.Duration
 		fails  bool
 	}{
-		"none":                         {},
-		"seconds":                      {values: []string{"3"}, want: 3 * time.Second},
-		"a fraction":                   {values: []string{"0.25"}, want: 250 * time.Millisecond},
-		"blanks around it":             {values: []string{" 2 "}, want: 2 * time.Second},
-		"zero":                         {values: []string{"0"}},
-		"a date":                       {values: []string{at(5 * time.Second)}, want: 5 * time.Second},
-		"a date by its sender's clock": {values: []string{at(-55 * time.Second)}, date: at(-time.Minute), want: 5 * time.Second},
-		"a date that has passed":       {values: []string{at(-time.Second)}},
-		"the longest of several":       {values: []string{"1", "4", "2"}, want: 4 * time.Second},
-		"one of several can be read":   {values: []string{"soon", "4"}, want: 4 * time.Second},
-		"a year and more":              {values: []string{"1e300"}, want: headers.MaxRetryAfter},
-		"a date in a thousand years":   {values: []string{"Fri, 03 Dec 3026 09:00:00 GMT"}, want: headers.MaxRetryAfter},
-		"negative":                     {values: []string{"-1"}, fails: true},
-		"beyond all numbers":           {values: []string{"1e400"}, fails: true},
-		"infinite":                     {values: []string{"Inf"}, fails: true},
-		"no number":                    {values: []string{"NaN"}, fails: true},
-		"words":                        {values: []string{"in a while"}, fails: true},
-		"empty":                        {values: []string{""}, fails: true},
+		"no header":                          {},
+		"seconds":                            {values: []string{"3"}, want: 3 * time.Second},
+		"a fraction":                         {values: []string{"0.25"}, want: 250 * time.Millisecond},
+		"surrounding spaces":                 {values: []string{" 2 "}, want: 2 * time.Second},
+		"zero":                               {values: []string{"0"}},
+		"a date":                             {values: []string{at(5 * time.Second)}, want: 5 * time.Second},
+		"a date relative to the Date header": {values: []string{at(-55 * time.Second)}, date: at(-time.Minute), want: 5 * time.Second},
+		"a date that has passed":             {values: []string{at(-time.Second)}},
+		"the longest of several":             {values: []string{"1", "4", "2"}, want: 4 * time.Second},
+		"one valid value of several":         {values: []string{"soon", "4"}, want: 4 * time.Second},
+		"more than a year":                   {values: []string{"1e300"}, want: headers.MaxRetryAfter},
+		"a date in a thousand years":         {values: []string{"Fri, 03 Dec 3026 09:00:00 GMT"}, want: headers.MaxRetryAfter},
+		"negative":                           {values: []string{"-1"}, fails: true},
+		"out of range of float64":            {values: []string{"1e400"}, fails: true},
+		"infinite":                           {values: []string{"Inf"}, fails: true},
+		"not a number":                       {values: []string{"NaN"}, fails: true},
+		"text":                               {values: []string{"in a while"}, fails: true},
+		"empty":                              {values: []string{""}, fails: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
