--- a/box/run.go
+++ b/box/run.go
@@ -54,7 +54,7 @@
 func (b *Box) addDuties(ctx context.Context, group *run.Group) {
 	for _, duty := range b.duties() {
 		dutyCtx, end := context.WithCancel(ctx)
-		group.Add(func() error { return lifecycle.UntilEnded(dutyCtx, duty) }, func(error) { end() })
+		group.Add(func() error { return lifecycle.RunUntilCancelled(dutyCtx, duty) }, func(error) { end() })
 	}
 }
 
@@ -74,7 +74,7 @@
 	clients := b.clientServer()
 	drained := make(chan struct{})
 	group.Add(func() error {
-		return lifecycle.ServeUntil(clients.Serve, b.listeners.clients, drained)
+		return lifecycle.ServeUntilDrained(clients.Serve, b.listeners.clients, drained)
 	}, func(error) { _ = clients.Close() })
 	group.Add(func() error {
 		defer close(drained)
@@ -89,8 +89,8 @@
 	}
 }
 
-func (b *Box) duties() []lifecycle.Duty {
-	return []lifecycle.Duty{
+func (b *Box) duties() []lifecycle.Task {
+	return []lifecycle.Task{
 		b.follower.Starter, b.follower.Watcher, b.follower.Exchanger, b.follower.Lister,
 		b.broker.Returner, b.runner.Recorder, b.cleaner().Run, b.prober.Run,
 		b.tick,
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -61,7 +61,7 @@
 		duties = append(duties, g.delivery.Duties()...)
 	}
 	for _, duty := range duties {
-		group.Add(func() error { return lifecycle.UntilEnded(ctx, duty) }, func(error) { end() })
+		group.Add(func() error { return lifecycle.RunUntilCancelled(ctx, duty) }, func(error) { end() })
 	}
 }
 
@@ -88,7 +88,7 @@
 	})
 	drained := make(chan struct{})
 	group.Add(func() error {
-		return lifecycle.ServeUntil(clients.Serve, g.listeners.clients, drained)
+		return lifecycle.ServeUntilDrained(clients.Serve, g.listeners.clients, drained)
 	}, func(error) { _ = clients.Close() })
 	group.Add(func() error {
 		defer close(drained)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,9 +1,9 @@
-// Package pause waits, and repeats, until a context ends.
+// Package pause provides delays and periodic calls that end when a context is cancelled.
 //
 // # Usage
 //
 //	if !pause.For(ctx, time.Second) {
-//		return // ctx ended first
+//		return // ctx was cancelled first
 //	}
 package pause
 
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx still goes on.
+// For waits for d, or until ctx is done if that is sooner. It reports whether d has elapsed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -24,7 +24,8 @@
 	}
 }
 
-// Every makes a duty that calls f regularly until its context ends.
+// Every returns a background task that calls f at the end of each period until its context is
+// cancelled. The next period begins when f returns.
 func Every(period time.Duration, f func(context.Context)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for For(ctx, period) {
