--- a/core/gateway/ejection/ejection_test.go
+++ b/core/gateway/ejection/ejection_test.go
@@ -12,21 +12,21 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/outcome"
 )
 
-var id = catalog.Life{ID: "i-1"}
+var life = catalog.Life{ID: "i-1"}
 
 var now = time.Unix(1000, 0)
 
-// ejectedFor is how long a target is ejected from now on.
+// ejectedFor returns how long a target is ejected from now on.
 func ejectedFor(t *ejection.Tracker) time.Duration {
 	d := time.Duration(0)
-	for t.Ejected(now.Add(d), id) {
+	for t.Ejected(now.Add(d), life) {
 		d += 10 * time.Millisecond
 	}
 	return d
 }
 
-func TestEachOutcomeEjectsForItsTime(t *testing.T) {
-	for o, want := range map[outcome.Outcome]time.Duration{
+func TestEjectionTimeDependsOnOutcome(t *testing.T) {
+	for o, duration := range map[outcome.Outcome]time.Duration{
 		outcome.Served:      0,
 		outcome.Abandoned:   0,
 		outcome.Shed:        50 * time.Millisecond,
@@ -36,43 +36,43 @@
 	} {
 		g := NewWithT(t)
 		tracker := ejection.New()
-		tracker.Ended(now, id, o)
-		g.Expect(ejectedFor(tracker)).To(Equal(want), fmt.Sprint(o))
+		tracker.RecordOutcome(now, life, o)
+		g.Expect(ejectedFor(tracker)).To(Equal(duration), fmt.Sprint(o))
 		g.Expect(tracker.Ejected(now, catalog.Life{ID: "another"})).To(BeFalse())
 	}
 }
 
-func TestFailuresInARowBackOffUpToABound(t *testing.T) {
+func TestConsecutiveFailuresBackOffUpToMaximum(t *testing.T) {
 	g := NewWithT(t)
 	tracker := ejection.New()
-	for _, want := range []time.Duration{200, 400, 800, 1600, 3000, 3000} {
-		tracker.ProbeFailed(now, id)
-		g.Expect(ejectedFor(tracker)).To(Equal(want * time.Millisecond))
+	for _, duration := range []time.Duration{200, 400, 800, 1600, 3000, 3000} {
+		tracker.RecordProbeFailure(now, life)
+		g.Expect(ejectedFor(tracker)).To(Equal(duration * time.Millisecond))
 	}
 }
 
-func TestAnAnswerBeginsTheBackOffAnewAndEndsNoEjection(t *testing.T) {
+func TestAnswerResetsBackOffButKeepsCurrentEjection(t *testing.T) {
 	g := NewWithT(t)
 	tracker := ejection.New()
-	tracker.Ended(now, id, outcome.Broken)
-	tracker.Ended(now, id, outcome.Broken)
-	tracker.Ended(now, id, outcome.Served)
+	tracker.RecordOutcome(now, life, outcome.Broken)
+	tracker.RecordOutcome(now, life, outcome.Broken)
+	tracker.RecordOutcome(now, life, outcome.Served)
 	g.Expect(ejectedFor(tracker)).To(Equal(400 * time.Millisecond))
-	tracker.Ended(now, id, outcome.Broken)
+	tracker.RecordOutcome(now, life, outcome.Broken)
 	g.Expect(ejectedFor(tracker)).To(Equal(200 * time.Millisecond))
 }
 
-func TestAnotherLifeOfATargetIsNotEjected(t *testing.T) {
+func TestOtherIncarnationOfTargetIsNotEjected(t *testing.T) {
 	g := NewWithT(t)
 	tracker := ejection.New()
-	tracker.Ended(now, catalog.Life{ID: "i-1", Born: 1}, outcome.Misdirected)
+	tracker.RecordOutcome(now, catalog.Life{ID: "i-1", Born: 1}, outcome.Misdirected)
 	g.Expect(tracker.Ejected(now, catalog.Life{ID: "i-1", Born: 1})).To(BeTrue())
 	g.Expect(tracker.Ejected(now, catalog.Life{ID: "i-1", Born: 2})).To(BeFalse())
 }
 
 func ExampleTracker() {
 	tracker := ejection.New()
-	tracker.Ended(now, id, outcome.Broken)
-	fmt.Println(tracker.Ejected(now.Add(100*time.Millisecond), id), tracker.Ejected(now.Add(200*time.Millisecond), id))
+	tracker.RecordOutcome(now, life, outcome.Broken)
+	fmt.Println(tracker.Ejected(now.Add(100*time.Millisecond), life), tracker.Ejected(now.Add(200*time.Millisecond), life))
 	// Output: true false
 }
--- a/core/gateway/freshness/watch.go
+++ b/core/gateway/freshness/watch.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// Watch is how one watch of the store stands.
+// Watch is the state of one watch of the store.
 type Watch struct {
-	// began is when the call under way began; zero when there is none.
-	began time.Time
+	// startedAt is when the call in progress started; zero if there is none.
+	startedAt time.Time
 	// answered is when the latest call that succeeded ended.
 	answered time.Time
 	failing  bool
-	// confirmed is the latest moment up to which nothing was missed; it is kept
-	// when the watch rests.
+	// confirmed is the latest time up to which no change was missed; it is kept when the
+	// watch stops.
 	confirmed time.Time
 }
 
-// Begin notes that a call begins.
-func (w *Watch) Begin(now time.Time) { w.began = now }
+// Begin records that a call starts.
+func (w *Watch) Begin(now time.Time) { w.startedAt = now }
 
-// End notes that the call under way has ended, whatever came of it.
-func (w *Watch) End() { w.began = time.Time{} }
+// End records that the call in progress ended, with or without success.
+func (w *Watch) End() { w.startedAt = time.Time{} }
 
-// SetFailing notes whether the latest call failed and says whether that is new.
+// SetFailing records whether the latest call failed and reports whether that changed.
 func (w *Watch) SetFailing(failing bool) (changed bool) {
 	changed = failing != w.failing
 	w.failing = failing
 	return changed
 }
 
-// Failing says whether the latest call failed.
+// Failing reports whether the latest call failed.
 func (w *Watch) Failing() bool { return w.failing }
 
-// InStep says whether the latest call was answered, so that the next one can wait
-// for changes; the first, and one after a failure, should confirm at once.
-func (w *Watch) InStep() bool { return !w.answered.IsZero() && !w.failing }
+// Synced reports whether the latest call was answered, so that the next one can wait for
+// changes; the first call, and one after a failure, should confirm the state at once.
+func (w *Watch) Synced() bool { return !w.answered.IsZero() && !w.failing }
 
-// Rest notes that the gateway no longer makes the calls of the watch.
-func (w *Watch) Rest() { *w = Watch{confirmed: w.confirmed} }
+// Stop records that the gateway no longer makes the calls of the watch.
+func (w *Watch) Stop() { *w = Watch{confirmed: w.confirmed} }
 
-// pinged notes that a ping that began at a moment reached the store.
-func (w *Watch) pinged(at time.Time, t Timing) {
-	waiting := !w.failing && !w.began.IsZero() && w.began.Before(at)
-	if waiting && w.live(at, t) && at.After(w.confirmed) {
+// confirmByPing records that a ping sent at the given time reached the store.
+func (w *Watch) confirmByPing(at time.Time, t Timing) {
+	waiting := !w.failing && !w.startedAt.IsZero() && w.startedAt.Before(at)
+	if waiting && w.isLive(at, t) && at.After(w.confirmed) {
 		w.confirmed = at
 	}
 }
 
-// live says whether the watch would report a change at once.
-func (w *Watch) live(now time.Time, t Timing) bool {
-	if !w.InStep() {
+// isLive reports whether the watch would report a change at once.
+func (w *Watch) isLive(now time.Time, t Timing) bool {
+	if !w.Synced() {
 		return false
 	}
-	if w.began.IsZero() {
+	if w.startedAt.IsZero() {
 		return now.Sub(w.answered) < t.WatchSlack
 	}
-	return now.Sub(w.began) < t.Watch+t.WatchSlack
+	return now.Sub(w.startedAt) < t.Watch+t.WatchSlack
 }
--- a/core/gateway/retry/retry.go
+++ b/core/gateway/retry/retry.go
@@ -1,21 +1,21 @@
-// Package retry decides whether a request is sent to a second target: after a
-// send that failed (a retry), or beside one that is slow (a hedge).
+// Package retry decides whether a request is sent to a second target: after a send that
+// failed (a retry), or in parallel with one that is slow (a hedge).
 //
-// It owns both rules and their constants. It relies on the verdict of the send
-// that failed, on the route's mode and limits, and on estimates of how long a
-// request takes; the budget that all second sends share is
-// core/gateway/budget. It does no I/O and reads no clock.
+// It owns both rules and their constants. It depends on the verdict of the send that
+// failed, on the route's mode and limits, and on estimates of how long a request takes;
+// the budget shared by all second sends is core/gateway/budget. It does no I/O and reads
+// no clock.
 //
-// A request that may have run is sent again only where its route says that it
-// may run twice: that is what keeps an approval or a booking from running twice.
+// A request that may have run is sent again only if its route says that it may run twice.
+// This keeps an approval or a booking from running twice.
 //
 // # Usage
 //
 //	if decision := retry.Decide(state); decision == retry.Again {
-//		// if the budget grants one
+//		// send again if the budget allows it
 //	}
 //	if delay, ok := retry.HedgeDelay(first); ok {
-//		// a hedge after delay, if the first send is still under way
+//		// send a hedge after delay if the first send is still in progress
 //	}
 package retry
 
@@ -25,14 +25,13 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-// minTimeShare is the share of the usual time that must be left for a retry: with
-// less no answer could come in time. Half of the requests take less than
-// the usual time.
+// minTimeShare is the share of the usual time that must be left for a retry: with less,
+// no answer could come in time. Half of the requests take less than the usual time.
 const minTimeShare = 0.5
 
-// State is what Decide goes by after a send that failed.
+// State is the input of Decide after a send that failed.
 type State struct {
-	// Verdict says whether the request may have run by that send.
+	// Verdict says whether the request may have run during that send.
 	Verdict verdict.Verdict
 	// Repeatable says whether the request may run more than once.
 	Repeatable bool
@@ -45,22 +44,22 @@
 	Usual time.Duration
 }
 
-// Decision says what follows a send that failed.
+// Decision says what is done after a send that failed.
 type Decision int
 
 // The decisions of Decide.
 const (
-	// MayHaveRun: the request must not be sent again.
+	// MayHaveRun: the request must not be sent again, because it may have run.
 	MayHaveRun Decision = iota
 	// TooLate: no answer to another send could come in time.
 	TooLate
 	// AttemptsUsed: the route allows no more sends.
 	AttemptsUsed
-	// Again: the request is sent again, if the budget grants it.
-	Again
+	// SendAgain: the request is sent again, if the budget grants it.
+	SendAgain
 )
 
-// Decide says whether a request is sent again after a send that failed.
+// Decide decides whether a request is sent again after a send that failed.
 func Decide(s State) Decision {
 	switch {
 	case s.Verdict != verdict.NotRun && !s.Repeatable:
@@ -70,6 +69,6 @@
 	case s.Sends >= s.MaxAttempts:
 		return AttemptsUsed
 	default:
-		return Again
+		return SendAgain
 	}
 }
--- a/internal/gateway/discovery/calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -156,7 +156,7 @@
 // lock is held.
 func (f *Follower) noteReturn(now time.Time) {
 	away := f.fresh.Age(now)
-	if f.fresh.NoteReturn(now, f.knowsTargets()) {
+	if f.fresh.RecordReturn(now, f.knowsTargets()) {
 		f.options.Log.Info("store back after an outage", "away_s", away.Seconds(), "targets_read_in_s", f.restoreDelay(now).Seconds())
 	}
 }
--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -288,7 +288,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	return f.fresh.Fresh(now) || f.fresh.Reads(now)
+	return f.fresh.Fresh(now) || f.fresh.WatchesLive(now)
 }
 
 // Age is how long ago what is believed was confirmed; freshness.Never if it was
@@ -303,7 +303,7 @@
 func (f *Follower) Reads() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fresh.Reads(f.options.Clock())
+	return f.fresh.WatchesLive(f.options.Clock())
 }
 
 // Wake has everything that waits look anew: it should be called when the machine was
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -67,7 +67,7 @@
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	f.meet(now, reply.Members, f.view.Observe)
-	f.fresh.NoteReader(now.Add(-reply.ReaderAge), reply.Reader)
+	f.fresh.RecordReader(now.Add(-reply.ReaderAge), reply.Reader)
 	f.noteTries(now, reply.Tries)
 	f.mergeUpdates(reply.Fatal, peer.ID)
 	f.compare(now, peer, reply)
@@ -131,7 +131,7 @@
 	for _, try := range tries {
 		news = f.tries.Note(now, try) || news
 		if try.Failed {
-			f.fresh.NoteFailed(now.Add(-try.Ago))
+			f.fresh.RecordFailure(now.Add(-try.Ago))
 		}
 	}
 	if news {
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -182,7 +182,7 @@
 	leaves := f.view.Self().Leaving && !n.sentLeaving
 	further := n.at.Lacks(f.catalog.Position())
 	tries := f.tries.Version() != n.sentTries
-	return leaves || further || tries || f.lacksUpdates(f.asksAll(n.sentUpdates)) || f.fresh.Confirms(now, now.Sub(n.confirmed))
+	return leaves || further || tries || f.lacksUpdates(f.asksAll(n.sentUpdates)) || f.fresh.CanConfirm(now, now.Sub(n.confirmed))
 }
 
 // noteExchanged notes how far a neighbour is, and logs who it is if it is new. One that
--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -29,7 +29,7 @@
 func (f *Follower) isRelied(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fresh.Reads(now) && f.isAsked(now)
+	return f.fresh.WatchesLive(now) && f.isAsked(now)
 }
 
 // isAsked says whether other gateways learn of updates from this one: they ask it, or it
@@ -50,5 +50,5 @@
 		return
 	}
 	f.options.Metrics.StoreCall(callPing, callAnswered)
-	f.wakeIfOld(f.fresh.Pinged(began, f.options.Self.ID))
+	f.wakeIfOld(f.fresh.RecordPing(began, f.options.Self.ID))
 }
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -135,7 +135,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	if !w.state.InStep() && !f.fresh.Failing() {
+	if !w.state.Synced() && !f.fresh.Failing() {
 		// Not each time that it tries again: gateways that are turned away for long must
 		// not hold back those that are not.
 		f.noteTry(now)
@@ -164,7 +164,7 @@
 		f.options.Metrics.StoreCall(w.name, callAnswered)
 		f.noteReturn(now)
 		f.setFailing(w, nil)
-		f.wakeIfOld(f.fresh.Answered(w.state, now, f.options.Self.ID))
+		f.wakeIfOld(f.fresh.RecordAnswer(w.state, now, f.options.Self.ID))
 	case errors.Is(err, ErrGone):
 		// The list that is asked for next shows whether the store is back.
 		f.options.Metrics.StoreCall(w.name, callAnswered)
@@ -178,8 +178,8 @@
 		if f.tries.Note(now, f.tried) {
 			f.wake() // others need not wait for this one
 		}
-		f.fresh.NoteFailed(now)
-		f.fresh.NoteAway(now, f.knowsTargets())
+		f.fresh.RecordFailure(now)
+		f.fresh.RecordUnavailable(now, f.knowsTargets())
 	}
 }
 
@@ -242,7 +242,7 @@
 func (f *Follower) waitFor(state *freshness.Watch) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !state.InStep() {
+	if !state.Synced() {
 		return firstWait
 	}
 	share := minWaitShare + (1-minWaitShare)*rand.Float64()
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -17,7 +17,7 @@
 	wait := f.untilReading(now)
 	f.setReads(wait <= 0)
 	if wait > 0 {
-		w.state.Rest()
+		w.state.Stop()
 		return wait
 	}
 	return w.until(now)
@@ -52,7 +52,7 @@
 		Seed: slices.Contains(f.options.Seeds(), self.Peer), Alone: f.view.Alone(now), Running: now.Sub(f.started),
 		InCompany: f.inCompany(now),
 		Knows:     f.knows(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.offered), Age: f.fresh.Age(now),
-		Reads: f.reads && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
+		Reads: f.reads && !f.fresh.Failing(), OutrankedAge: f.fresh.PrecedingReaderAge(now, self.ID),
 		HeldFor: f.tries.HeldFor(now, self.ID), TriedFor: f.tries.TriedFor(now, self.ID),
 	}
 }
--- a/internal/gateway/discovery/saved.go
+++ b/internal/gateway/discovery/saved.go
@@ -188,7 +188,7 @@
 func (f *Follower) isWorthSaving() (object SavedObject, worth bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.saved.known || !f.fresh.Reads(f.options.Clock()) {
+	if !f.saved.known || !f.fresh.WatchesLive(f.options.Clock()) {
 		return object, false
 	}
 	updates, prints := f.options.Fatal.QuarantinedUpdates()
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -179,7 +179,7 @@
 func (f *Follower) hasAnswer(args UpdateArgs, asked time.Time) bool {
 	now := f.options.Clock()
 	ahead := args.lacks(f.catalog.Position())
-	confirms := f.fresh.Confirms(now, older(args.Age, now.Sub(asked)))
+	confirms := f.fresh.CanConfirm(now, older(args.Age, now.Sub(asked)))
 	tries := f.tries.Lacking(now, args.Tries)
 	updates := args.AsksFatal && f.lacksUpdates(parsePositions(args.FatalAt))
 	return ahead || confirms || tries || updates || f.view.Self().Leaving
--- a/internal/gateway/forward/balancer.go
+++ b/internal/gateway/forward/balancer.go
@@ -83,7 +83,7 @@
 		Sends: int(req.sends.Load()), MaxAttempts: req.route.MaxAttempts,
 		Left: req.deadline.Request().Sub(now), Usual: svc.usual(req.route),
 	})
-	return decision == retry.Again && !b.verdictOn(req).IsSuspect() && svc.spendRetry(now)
+	return decision == retry.SendAgain && !b.verdictOn(req).IsSuspect() && svc.spendRetry(now)
 }
 
 // giveUp ends a request with the failure that a target answered, or with one of
--- a/internal/gateway/forward/hedge.go
+++ b/internal/gateway/forward/hedge.go
@@ -79,9 +79,9 @@
 // its target adds. The way to the target of a hedge mostly adds as much: other regions are
 // used only where the own has next to no targets.
 func (b *balancer) hedgeDelay(req *request, svc *service, trip time.Duration) (time.Duration, bool) {
-	return retry.HedgeDelay(retry.First{
+	return retry.HedgeDelay(retry.FirstSend{
 		Repeatable: req.route.Repeatable, Sends: int(req.sends.Load()), MaxAttempts: req.route.MaxAttempts,
-		Objective: req.route.Objective, Held: b.options.Clock().Sub(req.began), Usual: svc.usual(req.route) + trip,
+		Objective: req.route.Objective, Elapsed: b.options.Clock().Sub(req.began), Usual: svc.usual(req.route) + trip,
 	})
 }
 
@@ -126,7 +126,7 @@
 	b := r.balancer
 	now := b.options.Clock()
 	overdue := retry.Overdue(now.Sub(r.began), r.first.Predicted)
-	if !retry.HedgeNow(r.svc.isContended(now), overdue) || !r.svc.canSpendHedge() || b.verdictOn(r.req).IsSuspect() {
+	if !retry.MayHedge(r.svc.isContended(now), overdue) || !r.svc.canSpendHedge() || b.verdictOn(r.req).IsSuspect() {
 		return nil
 	}
 	avoid := append([]catalog.Life{r.first.target.Life()}, r.req.avoid...)
@@ -134,7 +134,7 @@
 	if found == nil {
 		return nil
 	}
-	suits := retry.HedgeSuits(&found.Candidate, overdue) && !found.Cold
+	suits := retry.SuitsHedge(&found.Candidate, overdue) && !found.Cold
 	if !suits || ctx.Err() != nil || !b.admitTo(ctx, r.req, found) || !r.svc.spendHedge(b.options.Clock()) {
 		b.release(found)
 		return nil
--- a/internal/gateway/forward/service.go
+++ b/internal/gateway/forward/service.go
@@ -98,14 +98,14 @@
 func (s *service) countRequest(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Request(now)
+	s.budget.RecordRequest(now)
 }
 
 // spendRetry takes a retry from the budget of second sends.
 func (s *service) spendRetry(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	granted := s.budget.Spend(now, retry.WholeBudget)
+	granted := s.budget.Spend(now, retry.RetryBudgetShare)
 	s.noteBudget(!granted)
 	return granted
 }
@@ -115,7 +115,7 @@
 func (s *service) spendHedge(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	granted := s.budget.Spend(now, retry.HedgeBudget)
+	granted := s.budget.Spend(now, retry.HedgeBudgetShare)
 	if granted {
 		s.noteBudget(false)
 	}
@@ -126,7 +126,7 @@
 func (s *service) canSpendHedge() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.CanSpend(retry.HedgeBudget)
+	return s.budget.CanSpend(retry.HedgeBudgetShare)
 }
 
 // noteBudget logs when the budget of second sends is exhausted, and when it no
@@ -156,7 +156,7 @@
 	if s.active[life]--; s.active[life] == 0 {
 		delete(s.active, life)
 	}
-	s.ejections.Ended(now, life, o)
+	s.ejections.RecordOutcome(now, life, o)
 	if o != outcome.Abandoned {
 		s.estimate.RecordSend(o == outcome.Shed)
 	}
@@ -173,7 +173,7 @@
 func (s *service) probeFailed(now time.Time, life catalog.Life) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ejections.ProbeFailed(now, life)
+	s.ejections.RecordProbeFailure(now, life)
 }
 
 // probeAnswered learns whether a target that answered reported its load.
