--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -1,9 +1,10 @@
-// Package backoff decides for how long a target is sent nothing since it asked for back-off: neither
-// requests nor probes, also where no other target is left. That sets it apart from an ejection, which
-// goes by failures and may be overruled.
+// Package backoff decides for how long a target is sent nothing because it asked for
+// back-off: neither requests nor probes, even if no other target is left. That
+// distinguishes it from an ejection, which depends on failures and may be overridden.
 //
-// A Window is the back-off of one target, a Tracker holds those of many by a key that names one start
-// of a target: one that starts again has asked for nothing. The package does no I/O and reads no clock.
+// A Window is the back-off of one target, a Tracker holds those of many, by a key that
+// identifies one incarnation of a target: a target that restarts has not asked for
+// back-off. The package does no I/O and reads no clock.
 //
 // # Usage
 //
@@ -16,60 +17,65 @@
 
 import "time"
 
-// wholeFor is the longest time that is held as it was asked for.
-const wholeFor = time.Hour
+// maxFullDuration is the longest back-off that is always applied in full.
+const maxFullDuration = time.Hour
 
-// hold is for how long a target that asks for d is sent nothing. Half of a very long time is, since it
-// may be asked for by mistake: one request finds out, and no more than one before d is over.
-func hold(d time.Duration) time.Duration { return min(d, max(wholeFor, d/2)) }
+// effectiveDuration returns for how long a target that asks for d is sent nothing. A very
+// long back-off is halved, because it may be a mistake: a single request then finds out,
+// and no second one is sent before d has passed.
+func effectiveDuration(d time.Duration) time.Duration { return min(d, max(maxFullDuration, d/2)) }
 
 // Window is the back-off of one target; the zero value is none.
 type Window struct{ until time.Time }
 
-// Ask takes in that the target asks for back-off, and says whether it begins one that was not under
-// way. An earlier one that ends later holds: both were asked for.
-func (w *Window) Ask(now time.Time, d time.Duration) (begins bool) {
+// Extend applies a target's request for back-off, and reports whether it starts a new
+// one. An earlier back-off that ends later stays in effect, because both were asked for.
+func (window *Window) Extend(now time.Time, d time.Duration) (begins bool) {
 	if d <= 0 {
 		return false
 	}
-	begins = w.Left(now) == 0
-	if until := now.Add(hold(d)); until.After(w.until) {
-		w.until = until
+	begins = window.Remaining(now) == 0
+	if until := now.Add(effectiveDuration(d)); until.After(window.until) {
+		window.until = until
 	}
 	return begins
 }
 
-// Left is for how much longer the target is sent nothing; 0 if it may be sent to.
-func (w Window) Left(now time.Time) time.Duration { return max(w.until.Sub(now), 0) }
+// Remaining returns for how much longer the target is sent nothing; 0 if it may be sent
+// to.
+func (window Window) Remaining(now time.Time) time.Duration { return max(window.until.Sub(now), 0) }
 
 // Tracker holds the back-offs of targets by their keys. It is not safe for concurrent use.
 type Tracker[K comparable] struct {
 	windows map[K]Window
 }
 
-// New makes a tracker of no back-offs.
+// New returns a tracker without back-offs.
 func New[K comparable]() *Tracker[K] { return &Tracker[K]{windows: map[K]Window{}} }
 
-// Ask takes in that a target asks for back-off, and says whether it begins one that was not under way.
-func (t *Tracker[K]) Ask(now time.Time, key K, d time.Duration) (begins bool) {
+// Extend applies a target's request for back-off, and reports whether it starts a new
+// one.
+func (t *Tracker[K]) Extend(now time.Time, key K, d time.Duration) (begins bool) {
 	if d <= 0 {
 		return false
 	}
-	w := t.windows[key]
-	begins = w.Ask(now, d)
-	t.windows[key] = w
+	window := t.windows[key]
+	begins = window.Extend(now, d)
+	t.windows[key] = window
 	return begins
 }
 
-// Left is for how much longer a target is sent nothing; 0 if it may be sent to.
-func (t *Tracker[K]) Left(now time.Time, key K) time.Duration { return t.windows[key].Left(now) }
+// Remaining returns for how much longer a target is sent nothing; 0 if it may be sent to.
+func (t *Tracker[K]) Remaining(now time.Time, key K) time.Duration {
+	return t.windows[key].Remaining(now)
+}
 
-// All lists the targets that are sent nothing and for how much longer, and forgets those whose
-// back-offs have ended.
-func (t *Tracker[K]) All(now time.Time) map[K]time.Duration {
+// Active returns the targets that are sent nothing and for how much longer, and deletes
+// the back-offs that have ended.
+func (t *Tracker[K]) Active(now time.Time) map[K]time.Duration {
 	all := make(map[K]time.Duration, len(t.windows))
-	for key, w := range t.windows {
-		left := w.Left(now)
+	for key, window := range t.windows {
+		left := window.Remaining(now)
 		if left == 0 {
 			delete(t.windows, key)
 			continue
@@ -79,6 +85,6 @@
 	return all
 }
 
-// Len is how many back-offs are remembered, those among them that have ended since the last look
-// at all.
+// Len returns the number of back-offs held, including those that have ended since the
+// last call of Active.
 func (t *Tracker[K]) Len() int { return len(t.windows) }
--- a/core/box/health/health.go
+++ b/core/box/health/health.go
@@ -122,10 +122,10 @@
 }
 
 // BackOff notes that the target asks to be sent nothing for a time; 0 for not.
-func (t *Tracker) BackOff(now time.Time, d time.Duration) { t.backOff.Ask(now, d) }
+func (t *Tracker) BackOff(now time.Time, d time.Duration) { t.backOff.Extend(now, d) }
 
 // BacksOff says whether the target has asked to be sent nothing now.
-func (t *Tracker) BacksOff(now time.Time) bool { return t.backOff.Left(now) > 0 }
+func (t *Tracker) BacksOff(now time.Time) bool { return t.backOff.Remaining(now) > 0 }
 
 // Ejected says whether the target is ejected now.
 func (t *Tracker) Ejected(now time.Time) bool { return now.Before(t.ejectedUntil) }
--- a/core/gateway/deadline/deadline.go
+++ b/core/gateway/deadline/deadline.go
@@ -1,12 +1,12 @@
-// Package deadline works out until when a request may be held: by the time-out of
-// its route and by what the client says that it will wait.
+// Package deadline computes until when a request may be held: from the timeout of its
+// route and the time that the client says it will wait.
 //
 // It owns the bounds on both. It does no I/O and reads no clock.
 //
 // # Usage
 //
 //	allowed, err := deadline.ParseMilliseconds("1500")
-//	d := deadline.New(began, route.Timeout, allowed)
+//	d := deadline.New(received, route.Timeout, allowed)
 //	ctx, cancel := context.WithDeadline(ctx, d.Request())
 package deadline
 
@@ -17,59 +17,59 @@
 )
 
 const (
-	// defaultTimeout holds where the route names no time-out.
+	// defaultTimeout applies if the route has no timeout.
 	defaultTimeout = 30 * time.Second
-	// longest is the longest time that a client can be believed to wait; it
-	// keeps the sum with a moment from overflowing.
-	longest = time.Hour
+	// maxAllowed is the longest wait that is accepted from a client; it keeps the sum
+	// with a time from overflowing.
+	maxAllowed = time.Hour
 )
 
-// NotGiven says that a client names no time that it will wait.
-const NotGiven = time.Duration(-1)
+// Unspecified means that a client does not say how long it will wait.
+const Unspecified = time.Duration(-1)
 
-// ErrMilliseconds says that the time a client names is none.
+// ErrMilliseconds is returned for a wait that is malformed or out of range.
 var ErrMilliseconds = errors.New("the client's deadline is not a whole number of milliseconds from 0 to 3600000")
 
-// ParseMilliseconds reads the time that a client will wait: whole milliseconds,
-// or NotGiven for an empty text. It fails with ErrMilliseconds.
+// ParseMilliseconds parses the time that a client will wait: whole milliseconds, or
+// Unspecified for an empty text. It fails with ErrMilliseconds.
 func ParseMilliseconds(text string) (time.Duration, error) {
 	if text == "" {
-		return NotGiven, nil
+		return Unspecified, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || ms < 0 || ms > longest.Milliseconds() {
-		return NotGiven, ErrMilliseconds
+	if err != nil || ms < 0 || ms > maxAllowed.Milliseconds() {
+		return Unspecified, ErrMilliseconds
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// Deadline is until when a request may be held, and until when its client waits.
+// Deadline holds until when a request may be held, and until when its client waits.
 type Deadline struct {
 	request time.Time
 	client  time.Time
 }
 
-// New works out the deadlines of a request that came in at began. timeout is the
-// route's, 0 or less for none; allowed is what the client will wait.
-func New(began time.Time, timeout, allowed time.Duration) Deadline {
+// New returns the deadlines of a request with the given receipt time. timeout is the
+// route's, 0 or less for none; allowed is how long the client will wait.
+func New(received time.Time, timeout, allowed time.Duration) Deadline {
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	d := Deadline{request: began.Add(timeout)}
+	d := Deadline{request: received.Add(timeout)}
 	d.client = d.request
-	if allowed == NotGiven {
+	if allowed == Unspecified {
 		return d
 	}
-	d.client = began.Add(allowed)
+	d.client = received.Add(allowed)
 	if d.client.Before(d.request) {
 		d.request = d.client
 	}
 	return d
 }
 
-// Request is until when the request may be held: the earlier of what the route
-// and the client allow.
+// Request returns until when the request may be held: the earlier of what the route and
+// the client allow.
 func (d Deadline) Request() time.Time { return d.request }
 
-// Client is until when the client waits.
+// Client returns until when the client waits.
 func (d Deadline) Client() time.Time { return d.client }
--- a/core/gateway/fingerprint/fingerprint.go
+++ b/core/gateway/fingerprint/fingerprint.go
@@ -1,7 +1,8 @@
-// Package fingerprint decides whether two attempts carry the same request: what is asked,
-// and who asks. Clients give each attempt an id of its own, so that nothing else does.
+// Package fingerprint decides whether two attempts carry the same request: the same
+// content from the same caller. Clients give each attempt an id of its own, so that the
+// id does not show it.
 //
-// It owns what counts as the same. It does no I/O.
+// It defines what counts as the same. It does no I/O.
 //
 // # Usage
 //
@@ -18,16 +19,16 @@
 	"strconv"
 )
 
-// digits is the length of each part of a Fingerprint: 64 bits. A caller that wants its
-// own request taken for another's has to try some 2^63.
-const digits = 16
+// partDigits is the length of each part of a Fingerprint: 64 bits. A caller that wants
+// its own request to be mistaken for another one has to try some 2^63.
+const partDigits = 16
 
-// Request is what the fingerprint of a request is taken of.
+// Request holds the parts of a request that its fingerprint is computed from.
 type Request struct {
 	Method, Host, URI string
 	Body              []byte
-	// Address is the caller's, without a port. Credentials are those that it gives, in
-	// a fixed order, such as its Authorization header.
+	// Address is the caller's, without a port. Credentials are those that it sends, in a
+	// fixed order, such as its Authorization header.
 	Address     string
 	Credentials []string
 }
@@ -35,29 +36,31 @@
 // Fingerprint identifies a request and its caller, by 16 hexadecimal digits each. The
 // fields are exported for the codec between gateways.
 type Fingerprint struct {
-	// Content is of method, host, URI and body, Caller of address and credentials.
+	// Content is computed from method, host, URI and body, Caller from address and
+	// credentials.
 	Content, Caller string
 }
 
-// Of takes the fingerprint of a request.
-func Of(r Request) Fingerprint {
+// Compute returns the fingerprint of a request.
+func Compute(r Request) Fingerprint {
 	content := sha256.New()
-	add(content, r.Method, r.Host, r.URI)
+	writeAll(content, r.Method, r.Host, r.URI)
 	content.Write(r.Body)
 	caller := sha256.New()
-	add(caller, r.Address)
-	add(caller, r.Credentials...)
+	writeAll(caller, r.Address)
+	writeAll(caller, r.Credentials...)
 	return Fingerprint{Content: sum(content), Caller: sum(caller)}
 }
 
-// String is how log lines show a fingerprint.
+// String returns the form used in log lines.
 func (f Fingerprint) String() string { return f.Content + "-" + f.Caller }
 
-// add adds texts, each with its length before it, so that no two lists look alike.
-func add(h hash.Hash, texts ...string) {
+// writeAll writes texts, each preceded by its length, so that no two different lists hash
+// the same bytes.
+func writeAll(h hash.Hash, texts ...string) {
 	for _, text := range texts {
 		h.Write([]byte(strconv.Itoa(len(text)) + ":" + text))
 	}
 }
 
-func sum(h hash.Hash) string { return hex.EncodeToString(h.Sum(nil))[:digits] }
+func sum(h hash.Hash) string { return hex.EncodeToString(h.Sum(nil))[:partDigits] }
--- a/core/gateway/fingerprint/fingerprint_test.go
+++ b/core/gateway/fingerprint/fingerprint_test.go
@@ -9,13 +9,13 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/fingerprint"
 )
 
-func TestOnlyTheSameRequestOfTheSameCallerIsAlike(t *testing.T) {
+func TestFingerprintDistinguishesContentAndCaller(t *testing.T) {
 	g := NewWithT(t)
-	same := fingerprint.Request{
+	request := fingerprint.Request{
 		Method: "POST", Host: "a.example", URI: "/x?y=1", Body: []byte("b"), Address: "10.0.0.1", Credentials: []string{"k"},
 	}
-	print := fingerprint.Of(same)
-	g.Expect(fingerprint.Of(same)).To(Equal(print))
+	print := fingerprint.Compute(request)
+	g.Expect(fingerprint.Compute(request)).To(Equal(print))
 
 	for _, change := range []func(r *fingerprint.Request){
 		func(r *fingerprint.Request) { r.Method = "PUT" },
@@ -24,24 +24,24 @@
 		func(r *fingerprint.Request) { r.Body = []byte("c") },
 		func(r *fingerprint.Request) { r.Method, r.Host = "POSTa", ".example" },
 	} {
-		other := same
+		other := request
 		change(&other)
-		g.Expect(fingerprint.Of(other).Content).NotTo(Equal(print.Content), fmt.Sprint(other))
-		g.Expect(fingerprint.Of(other).Caller).To(Equal(print.Caller))
+		g.Expect(fingerprint.Compute(other).Content).NotTo(Equal(print.Content), fmt.Sprint(other))
+		g.Expect(fingerprint.Compute(other).Caller).To(Equal(print.Caller))
 	}
 	for _, change := range []func(r *fingerprint.Request){
 		func(r *fingerprint.Request) { r.Address = "10.0.0.2" },
 		func(r *fingerprint.Request) { r.Credentials = nil },
 		func(r *fingerprint.Request) { r.Credentials = []string{"", "k"} },
 	} {
-		other := same
+		other := request
 		change(&other)
-		g.Expect(fingerprint.Of(other).Caller).NotTo(Equal(print.Caller), fmt.Sprint(other))
-		g.Expect(fingerprint.Of(other).Content).To(Equal(print.Content))
+		g.Expect(fingerprint.Compute(other).Caller).NotTo(Equal(print.Caller), fmt.Sprint(other))
+		g.Expect(fingerprint.Compute(other).Content).To(Equal(print.Content))
 	}
 }
 
-func ExampleOf() {
-	fmt.Println(fingerprint.Of(fingerprint.Request{Method: "GET", Host: "shop.example", URI: "/read/1", Address: "10.0.0.1"}))
+func ExampleCompute() {
+	fmt.Println(fingerprint.Compute(fingerprint.Request{Method: "GET", Host: "shop.example", URI: "/read/1", Address: "10.0.0.1"}))
 	// Output: 81dc37d06d2dafb2-e1160ac46bc2e877
 }
--- a/core/gateway/outcome/outcome.go
+++ b/core/gateway/outcome/outcome.go
@@ -1,21 +1,21 @@
-// Package outcome says how one send of a request to a target ended, and what
-// that means for the request. Every rule that follows from the end of a send
-// (retrying, ejecting a target, learning) goes by an Outcome, so that they agree.
+// Package outcome classifies how one send of a request to a target ended, and what that
+// means for the request. Every rule that depends on the end of a send (retries, ejection
+// of targets, estimates) uses an Outcome, so that they agree.
 //
-// It owns the reading of a target's answer; it relies on package verdict for
+// It owns the interpretation of a target's answer; it depends on package verdict for
 // whether a request may have run. It does no I/O.
 //
 // # Usage
 //
-//	ended := outcome.OfAnswer(answer.Status, answer.NotRun)
-//	if failure := ended.Failure(); failure != nil {
-//		// another target may do better
+//	result := outcome.FromAnswer(answer.Status, answer.NotRun)
+//	if failure := result.Failure(); failure != nil {
+//		// try another target
 //	}
 package outcome
 
 import "github.com/sprucecrank/sprucecrank/verdict"
 
-// HTTP statuses that say how a send ended (RFC 9110, 15.5.20 and 15.6).
+// HTTP statuses that determine how a send ended (RFC 9110, 15.5.20 and 15.6).
 const (
 	statusMisdirected = 421
 	statusServerError = 500 // and above
@@ -24,26 +24,26 @@
 // Outcome is how a send ended.
 type Outcome int
 
-// How a send can end.
+// The values of Outcome.
 const (
 	// Served: the target answered the request.
 	Served Outcome = iota
-	// Shed: the target promises that it did not run the request.
+	// Shed: the target guarantees that it did not run the request.
 	Shed
-	// Misdirected: another target lives at the address now; it did not run the
-	// request.
+	// Misdirected: the address belongs to another target now; it did not run the request.
 	Misdirected
-	// Failed: the target answered that it failed.
+	// Failed: the target answered with a server error.
 	Failed
-	// Broken: the connection broke, or what came was no whole answer.
+	// Broken: the connection broke, or the answer was incomplete or malformed.
 	Broken
 	// Abandoned: the deadline passed, or nobody waits for the answer any more.
 	Abandoned
 )
 
-// OfAnswer is how a send ended to which the target answered with an HTTP status;
-// notRun says that the answer bears the target's promise not to have run it.
-func OfAnswer(status int, notRun bool) Outcome {
+// FromAnswer returns the outcome of a send that the target answered with an HTTP status;
+// notRun says that the answer carries the target's guarantee that it did not run the
+// request.
+func FromAnswer(status int, notRun bool) Outcome {
 	switch {
 	case status == statusMisdirected:
 		return Misdirected
@@ -56,21 +56,20 @@
 	}
 }
 
-// OfFailure is how a send ended to which there is no answer.
-func OfFailure(failure *verdict.Error) Outcome {
+// FromFailure returns the outcome of a send without an answer.
+func FromFailure(failure *verdict.Error) Outcome {
 	if failure.Reason() == verdict.ReasonTargetFailed {
 		return Broken
 	}
 	return Abandoned
 }
 
-// HasOwnAnswer says whether the target's answer may be given to the client if
-// nothing better comes: it is the target's own answer to the request.
-func (o Outcome) HasOwnAnswer() bool { return o == Served || o == Failed }
+// HasTargetAnswer reports whether the target's answer may be sent to the client if no
+// better one arrives: it is the target's own answer to the request.
+func (o Outcome) HasTargetAnswer() bool { return o == Served || o == Failed }
 
-// Failure is why an answer should rather be had from another target; nil where
-// there is no reason to, and for sends without an answer, which have a failure
-// of their own.
+// Failure returns why another target should be tried; nil if there is no reason to, and
+// for sends without an answer, which have a failure of their own.
 func (o Outcome) Failure() *verdict.Error {
 	switch o {
 	case Shed, Misdirected:
--- a/core/gateway/outcome/outcome_test.go
+++ b/core/gateway/outcome/outcome_test.go
@@ -10,13 +10,13 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-func TestAnAnswerMeansWhatItsStatusAndPromiseSay(t *testing.T) {
+func TestOutcomeOfAnswerDependsOnStatusAndNotRun(t *testing.T) {
 	for _, c := range []struct {
-		status int
-		notRun bool
-		want   outcome.Outcome
-		own    bool
-		reason verdict.Reason // of the failure, if any
+		status          int
+		notRun          bool
+		outcome         outcome.Outcome
+		hasTargetAnswer bool
+		reason          verdict.Reason // of the failure, if any
 	}{
 		{200, false, outcome.Served, true, ""},
 		{404, false, outcome.Served, true, ""},
@@ -28,34 +28,34 @@
 	} {
 		t.Run(fmt.Sprint(c.status, c.notRun), func(t *testing.T) {
 			g := NewWithT(t)
-			o := outcome.OfAnswer(c.status, c.notRun)
-			g.Expect(o).To(Equal(c.want))
-			g.Expect(o.HasOwnAnswer()).To(Equal(c.own))
+			o := outcome.FromAnswer(c.status, c.notRun)
+			g.Expect(o).To(Equal(c.outcome))
+			g.Expect(o.HasTargetAnswer()).To(Equal(c.hasTargetAnswer))
 			failure := o.Failure()
 			if c.reason == "" {
 				g.Expect(failure).To(BeNil())
 				return
 			}
 			g.Expect(failure.Reason()).To(Equal(c.reason))
-			g.Expect(failure.Verdict() == verdict.NotRun).To(Equal(c.want != outcome.Failed), "only the target can promise")
+			g.Expect(failure.Verdict() == verdict.NotRun).To(Equal(c.outcome != outcome.Failed), "only the target can guarantee that it did not run")
 		})
 	}
 }
 
-func TestASendWithoutAnAnswer(t *testing.T) {
+func TestOutcomeOfSendWithoutAnswer(t *testing.T) {
 	g := NewWithT(t)
 	for reason, want := range map[verdict.Reason]outcome.Outcome{
 		verdict.ReasonTargetFailed: outcome.Broken,
 		verdict.ReasonDeadline:     outcome.Abandoned,
 		verdict.ReasonClientGone:   outcome.Abandoned,
 	} {
-		o := outcome.OfFailure(verdict.New(verdict.MayHaveRun, reason, "for a test"))
+		o := outcome.FromFailure(verdict.New(verdict.MayHaveRun, reason, "for a test"))
 		g.Expect(o).To(Equal(want), string(reason))
-		g.Expect(o.HasOwnAnswer()).To(BeFalse())
+		g.Expect(o.HasTargetAnswer()).To(BeFalse())
 	}
 }
 
-func ExampleOfAnswer() {
-	fmt.Println(outcome.OfAnswer(503, true).Failure())
+func ExampleFromAnswer() {
+	fmt.Println(outcome.FromAnswer(503, true).Failure())
 	// Output: target-shed (not-run): the target did not run the request
 }
--- a/core/gateway/refusal/refusal.go
+++ b/core/gateway/refusal/refusal.go
@@ -1,16 +1,16 @@
-// Package refusal decides how a request ends that is given up: with a failure that
-// a target answered or with one of the gateway's, with which verdict and reason,
-// and when the client should come back.
+// Package refusal decides what answer a request gets that is abandoned: a failure that a
+// target answered or one of the gateway's own, with which verdict and reason, and when
+// the client should retry.
 //
-// It owns that rule, which keeps the promise of "not run": a request of which any
-// send may have run is never refused as not run, whatever failed last. It relies
-// on package verdict. It does no I/O, reads no clock and draws no random numbers.
+// It owns that rule, which guarantees the meaning of "not run": a request of which any
+// send may have run is never refused as not run, whatever failed last. It depends on
+// package verdict. It does no I/O, reads no clock and generates no random numbers.
 //
 // # Usage
 //
 //	failure := refusal.Final(refusal.Ending{Failure: failure, Last: last, MayHaveRun: true})
 //	pause := refusal.RetryAfter(left, rand.Float64())
-//	if failure.Reason() == verdict.ReasonShed && room.IsOpen() {
+//	if failure.Reason() == verdict.ReasonShed && load.IsOpen() {
 //		pause = refusal.AtOnce(rand.Float64())
 //	}
 package refusal
@@ -22,55 +22,57 @@
 )
 
 const (
-	// longestShare is the share of the time that a client has left which it
-	// spends waiting at most before it comes back, and shortestShare the share of
-	// that where the draw begins. The clients of one burst are spread over the
-	// time that they have, so that they don't return as one
-	// (docs/DESIGN.md, "refused clients spread over a third of their time").
-	longestShare  = 1.0 / 3
-	shortestShare = 0.3
-	// minRetryAfter is the shortest pause: a full service is not free again
-	// before.
+	// maxRetryShare is the maximum pause before a client retries, as a share of the time
+	// that it still waits, and minDrawShare the share of that maximum where the random
+	// range begins. The clients of one burst are spread over the time that they have, so
+	// that they don't all retry at once (docs/DESIGN.md, "refused clients spread over a
+	// third of their time").
+	maxRetryShare = 1.0 / 3
+	minDrawShare  = 0.3
+	// minRetryAfter is the shortest pause: a full service has no free slot before.
 	minRetryAfter = 150 * time.Millisecond
-	// openingShare is the share of the time that a client has left behind an opening over which its
-	// return is spread.
-	openingShare = 0.5
-	// longestOpensIn bounds what a client is asked to wait for targets that take no requests for
-	// long: others may be added meanwhile.
-	longestOpensIn = time.Minute
-	// atOnceFrom and atOnceSpread are when a client should come back whose request targets
-	// shed though others have room: far enough apart that those of one moment don't come
-	// back as one, near enough that nothing is lost of the objective: some
-	// probes' time.
-	atOnceFrom   = 5 * time.Millisecond
-	atOnceSpread = 20 * time.Millisecond
-	// shutShare is the share of the sends from which on targets shed so much that coming
-	// back at once would burn the few repeats that a client has: of an attempt of two
-	// sends, two out of three are shed then.
-	shutShare = 0.8
-	// NotReadyRetryAfter is when to come back to a gateway that knows too little
-	// to serve: it learns within some round trips to the store.
+	// unavailableSpreadShare is the share of the time that a client still waits after
+	// targets become available again over which its retry is spread.
+	unavailableSpreadShare = 0.5
+	// maxAvailableIn bounds how long a client is asked to wait for targets that accept no
+	// requests for a long time: others may be added in the meantime.
+	maxAvailableIn = time.Minute
+	// immediateMin and immediateSpread determine when a client should retry whose request
+	// was shed although other targets have free slots: spread enough that simultaneous
+	// requests don't return together, and soon enough not to reduce the time left within
+	// the objective noticeably. The range is the time of a few probes.
+	immediateMin    = 5 * time.Millisecond
+	immediateSpread = 20 * time.Millisecond
+	// maxImmediateShedShare is the share of sends shed from which immediate retries would
+	// use up the few attempts that a client has: at that share, two out of three attempts
+	// of two sends are shed.
+	maxImmediateShedShare = 0.8
+	// NotReadyRetryAfter is when to retry at a gateway that does not know enough to serve
+	// yet: it learns the state within a few round trips to the store.
 	NotReadyRetryAfter = 300 * time.Millisecond
 )
 
-// PassesOwn says whether a client gets the failure that a target answered, where
-// one did, and none of the gateway's: it is the target's own answer to the request.
-// A client that has left gets neither.
-func PassesOwn(failure *verdict.Error) bool { return failure.Reason() != verdict.ReasonClientGone }
+// MayForwardTargetAnswer reports whether a client gets the failure that a target
+// answered, if one did, in place of the gateway's own: it is the target's answer to the
+// request. A client that disconnected gets neither.
+func MayForwardTargetAnswer(failure *verdict.Error) bool {
+	return failure.Reason() != verdict.ReasonClientGone
+}
 
-// Ending is what is known of a request that is given up.
+// Ending describes a request that is abandoned.
 type Ending struct {
-	// Failure is why it is given up.
+	// Failure is the reason for abandoning the request.
 	Failure *verdict.Error
-	// Last is how its last send failed; nil if there was none.
+	// Last is the failure of its last send; nil if there was none.
 	Last *verdict.Error
-	// MayHaveRun says that one of its sends ended without a promise.
+	// MayHaveRun says that one of its sends ended without the guarantee that it did not
+	// run.
 	MayHaveRun bool
-	// RetryAfter is when the client should come back.
+	// RetryAfter is the pause after which the client should retry.
 	RetryAfter time.Duration
 }
 
-// Final is the answer to a request that is given up.
+// Final returns the answer to a request that is abandoned.
 func Final(e Ending) *verdict.Error {
 	switch {
 	case e.Failure.Reason() == verdict.ReasonClientGone:
@@ -82,8 +84,8 @@
 	}
 }
 
-// mayHaveRun says how the last send ended, since nothing else can say whether
-// the request ran. It names no time to come back: the client must not repeat.
+// mayHaveRun returns how the last send ended, since nothing else can say whether the
+// request ran. It sets no time to retry: the client must not repeat the request.
 func (e Ending) mayHaveRun() *verdict.Error {
 	failure := e.Failure
 	if e.Last != nil {
@@ -96,8 +98,8 @@
 	return verdict.New(verdict.MayHaveRun, reason, failure.Detail()).WithCause(failure.Unwrap())
 }
 
-// notRun promises that the request did not run; a deadline that passed before it
-// could run means that it came too late.
+// notRun returns a failure that guarantees that the request did not run; a deadline that
+// passed before it could run is reported as too late.
 func (e Ending) notRun() *verdict.Error {
 	reason := e.Failure.Reason()
 	if reason == verdict.ReasonDeadline {
@@ -106,37 +108,40 @@
 	return verdict.New(verdict.NotRun, reason, e.Failure.Detail()).WithCause(e.Failure.Unwrap()).WithRetryAfter(e.RetryAfter)
 }
 
-// Room is what is known of a service when one of its requests is refused.
-type Room struct {
-	// Contended says that requests have lately found no free slot.
+// ServiceLoad is the load of a service when one of its requests is refused.
+type ServiceLoad struct {
+	// Contended says that requests recently found no free slot.
 	Contended bool
-	// ShedShare is the share of the latest sends that targets did not take.
+	// ShedShare is the share of recent sends that targets shed.
 	ShedShare float64
 }
 
-// IsOpen says whether a client whose request was shed should come back at once: there is
-// room, and most attempts find it.
-func (r Room) IsOpen() bool { return !r.Contended && r.ShedShare < shutShare }
+// AllowsImmediateRetry reports whether a client whose request was shed should retry at
+// once: there are free slots, and most attempts find one.
+func (l ServiceLoad) AllowsImmediateRetry() bool {
+	return !l.Contended && l.ShedShare < maxImmediateShedShare
+}
 
-// AtOnce is when such a client should come back; draw is uniform in [0, 1).
-func AtOnce(draw float64) time.Duration {
-	return atOnceFrom + time.Duration(draw*float64(atOnceSpread))
+// ImmediateRetryAfter returns the pause before such a retry; draw is uniform in [0, 1).
+func ImmediateRetryAfter(draw float64) time.Duration {
+	return immediateMin + time.Duration(draw*float64(immediateSpread))
 }
 
-// AfterOpening is when a client should come back that was refused since no target takes requests
-// until some time from now: then or later, since all that were refused meanwhile would come at one
-// moment and have the targets ask for back-off again. left is the time until it stops waiting, draw is
-// uniform in [0, 1).
-func AfterOpening(opensIn, left time.Duration, draw float64) time.Duration {
-	opensIn = min(opensIn, longestOpensIn)
-	spread := max(time.Duration(openingShare*float64(left-opensIn)), minRetryAfter)
-	return opensIn + time.Duration(draw*float64(spread))
+// RetryAfterUnavailable returns the pause for a client that was refused because no target
+// accepts requests for availableIn. The pause ends then or later, because otherwise all
+// clients refused meanwhile would retry at the same moment and make the targets ask for
+// back-off again. left is the time until the client stops waiting, draw is uniform in [0,
+// 1).
+func RetryAfterUnavailable(availableIn, left time.Duration, draw float64) time.Duration {
+	availableIn = min(availableIn, maxAvailableIn)
+	spread := max(time.Duration(unavailableSpreadShare*float64(left-availableIn)), minRetryAfter)
+	return availableIn + time.Duration(draw*float64(spread))
 }
 
-// RetryAfter is when a refused client should come back: left is the time until it
-// stops waiting, draw is uniform in [0, 1).
+// RetryAfter returns the pause before a refused client should retry: left is the time
+// until it stops waiting, draw is uniform in [0, 1).
 func RetryAfter(left time.Duration, draw float64) time.Duration {
-	longest := time.Duration(longestShare * float64(left))
-	drawn := shortestShare + (1-shortestShare)*draw
-	return max(time.Duration(drawn*float64(longest)), minRetryAfter)
+	maxPause := time.Duration(maxRetryShare * float64(left))
+	drawnShare := minDrawShare + (1-minDrawShare)*draw
+	return max(time.Duration(drawnShare*float64(maxPause)), minRetryAfter)
 }
--- a/core/gateway/signal/board.go
+++ b/core/gateway/signal/board.go
@@ -9,169 +9,179 @@
 )
 
 const (
-	// quorum is of how many gateways a target must have asked for back-off before all others avoid
-	// it: one alone may send too much.
+	// quorum is the number of gateways that a target must have asked for back-off before
+	// all others avoid it: a single gateway may simply be sending too much.
 	quorum = 2
-	// maxAvoidedShare is of how many of some targets gateways avoid those that asked for back-off. Where
-	// more ask, those that are left can't serve for all, and would ask as well.
+	// maxAvoidedShare is the maximum share of a set of targets that gateways avoid
+	// because these asked for back-off. If more ask, the remaining ones can't take over
+	// their load and would ask as well.
 	maxAvoidedShare = 0.7
-	// maxTargets bounds the targets that gateways share signals of. For further ones each gateway
-	// goes by what it was asked itself.
+	// maxTargets bounds the targets for which gateways share signals. For further ones
+	// each gateway uses only the signals that it received itself.
 	maxTargets = 256
 	// maxUpdates bounds the updates in one message.
 	maxUpdates = 32
-	// longerBy is by how much longer than the one that was shared a back-off must be to be shared.
-	longerBy = 500 * time.Millisecond
-	// longestShared bounds a back-off as it is shared: a target that asks for more asks again.
-	longestShared = time.Minute
-	// leavingFor is how long it is shared that a target leaves: it has ended by then, or its entry
-	// says so.
-	leavingFor = time.Minute
+	// minExtension is how much longer than the shared one a back-off must be to be shared
+	// again.
+	minExtension = 500 * time.Millisecond
+	// maxSharedBackOff bounds a back-off as it is shared: a target that asks for more
+	// asks again.
+	maxSharedBackOff = time.Minute
+	// leavingLifetime is how long it is shared that a target is leaving: by then it has
+	// ended, or its entry says so.
+	leavingLifetime = time.Minute
 )
 
-// Update is a signal of one target as gateways share it.
+// Update is a signal of one target in the form that gateways share.
 type Update struct {
 	Life catalog.Life
-	// From is the id of the gateway to which the target said it.
+	// From is the id of the gateway that received the signal from the target.
 	From string
-	// BackOff is for how much longer the target asked From to send it nothing; 0 for not.
+	// BackOff is for how much longer the target asked From to send nothing; 0 if it did
+	// not ask.
 	BackOff time.Duration
-	// Leaving says that the target leaves, and Age how long ago it was first said.
+	// Leaving says that the target is leaving, and Age how long ago that was first
+	// signalled.
 	Leaving bool
 	Age     time.Duration
 }
 
-// isSound says whether an update can be taken in.
-func (u Update) isSound() bool {
-	isLeaving := u.Leaving && u.Age >= 0 && u.Age < leavingFor
-	return u.Life.ID != "" && u.BackOff >= 0 && u.BackOff <= longestShared && (u.BackOff > 0 || isLeaving)
+// isValid reports whether an update can be accepted.
+func (u Update) isValid() bool {
+	isLeaving := u.Leaving && u.Age >= 0 && u.Age < leavingLifetime
+	return u.Life.ID != "" && u.BackOff >= 0 && u.BackOff <= maxSharedBackOff && (u.BackOff > 0 || isLeaving)
 }
 
-// asked is a gateway that a target asked for back-off.
-type asked struct {
+// backOffRequest is a target's request for back-off to one gateway.
+type backOffRequest struct {
 	from    string
 	until   time.Time
-	version uint64 // of the board, when it was taken in
+	version uint64 // version of the board at which it was accepted
 }
 
-// notice is what is known of one target.
-type notice struct {
-	asked []asked // at most quorum, those that end last
-	// leftAt is when it was first said that the target leaves, zero if never, at a version.
-	leftAt      time.Time
-	leftVersion uint64
+// targetSignals holds the signals of one target.
+type targetSignals struct {
+	backOffs []backOffRequest // at most quorum entries
+	// leavingAt is when it was first signalled that the target is leaving, zero if never,
+	// and leavingVersion the version of the board at which that was accepted.
+	leavingAt      time.Time
+	leavingVersion uint64
 }
 
-// left is for how much longer the target asks enough gateways for back-off; 0 for not.
-func (n *notice) left(now time.Time) time.Duration {
-	if len(n.asked) < quorum {
+// remaining returns for how much longer the target asks enough gateways for back-off; 0
+// if it does not.
+func (s *targetSignals) remaining(now time.Time) time.Duration {
+	if len(s.backOffs) < quorum {
 		return 0
 	}
-	first := slices.MinFunc(n.asked, func(a, b asked) int { return a.until.Compare(b.until) })
+	first := slices.MinFunc(s.backOffs, func(r, b backOffRequest) int { return r.until.Compare(b.until) })
 	return max(first.until.Sub(now), 0)
 }
 
-// Board holds the signals that gateways share: which targets leave, and which asked several gateways
-// for back-off. It is not safe for concurrent use.
+// Board holds the signals that gateways share: which targets are leaving, and which asked
+// several gateways for back-off. It is not safe for concurrent use.
 type Board struct {
 	log     *changes.Log
-	notices map[catalog.Life]*notice
-	// lastAsking are the targets that were found to ask last.
-	lastAsking askingTargets
+	targets map[catalog.Life]*targetSignals
+	// cachedAvoided is the latest result of askingForBackOff.
+	cachedAvoided avoidedSet
 }
 
-// askingTargets are the targets that ask enough gateways for back-off, at a version of the board and
-// until a moment.
-type askingTargets struct {
+// avoidedSet holds the targets that ask enough gateways for back-off, at a version of the
+// board and until a time.
+type avoidedSet struct {
 	version uint64
 	until   time.Time
 	lives   map[catalog.Life]bool
 }
 
-// NewBoard makes an empty board. number is drawn at random, so that others can distinguish it from that of
-// an earlier process.
+// NewBoard returns an empty board. number is random, so that other gateways can
+// distinguish the board from that of an earlier process.
 func NewBoard(number uint64) *Board {
-	return &Board{log: changes.NewLog(number), notices: map[catalog.Life]*notice{}}
+	return &Board{log: changes.NewLog(number), targets: map[catalog.Life]*targetSignals{}}
 }
 
-// Position is how far the board has come.
+// Position returns the current position of the board's log of changes.
 func (b *Board) Position() changes.Position { return b.log.Position() }
 
-// Note takes in what a target said to this gateway, and says whether it is to be shared.
-func (b *Board) Note(now time.Time, u Update) (isNew bool) {
-	u.BackOff = min(u.BackOff, longestShared)
-	return u.isSound() && b.take(now, u)
+// Record records what a target signalled to this gateway, and reports whether it is to be
+// shared.
+func (b *Board) Record(now time.Time, u Update) (isNew bool) {
+	u.BackOff = min(u.BackOff, maxSharedBackOff)
+	return u.isValid() && b.apply(now, u)
 }
 
-// Merge takes in updates of another gateway, and returns those that are new here, which are to be
-// shared in turn.
+// Merge applies updates of another gateway, and returns those that are new here, which
+// are to be forwarded.
 func (b *Board) Merge(now time.Time, updates []Update) (fresh []Update) {
 	for _, u := range updates {
-		if u.isSound() && b.take(now, u) {
+		if u.isValid() && b.apply(now, u) {
 			fresh = append(fresh, u)
 		}
 	}
 	return fresh
 }
 
-func (b *Board) take(now time.Time, u Update) (isNew bool) {
-	n := b.notices[u.Life]
-	if n == nil {
-		if len(b.notices) >= maxTargets {
+func (b *Board) apply(now time.Time, u Update) (isNew bool) {
+	s := b.targets[u.Life]
+	if s == nil {
+		if len(b.targets) >= maxTargets {
 			return false
 		}
-		n = &notice{}
+		s = &targetSignals{}
 	}
-	if u.Leaving && n.leftAt.IsZero() {
-		n.leftAt, n.leftVersion, isNew = now.Add(-u.Age), b.log.Next(), true
+	if u.Leaving && s.leavingAt.IsZero() {
+		s.leavingAt, s.leavingVersion, isNew = now.Add(-u.Age), b.log.Next(), true
 	}
-	if u.BackOff > 0 && n.takeBackOff(now, u.From, now.Add(u.BackOff), b.log.Version()+1) {
+	if u.BackOff > 0 && s.recordBackOff(now, u.From, now.Add(u.BackOff), b.log.Version()+1) {
 		b.log.Next()
 		isNew = true
 	}
 	if isNew {
-		b.notices[u.Life] = n
+		b.targets[u.Life] = s
 	}
 	return isNew
 }
 
-// takeBackOff takes in until when one gateway was asked, if it ends later by much than what is known
-// of that gateway or, of another one, if there is room or one that has ended makes some.
-func (n *notice) takeBackOff(now time.Time, from string, until time.Time, version uint64) bool {
-	n.asked = slices.DeleteFunc(n.asked, func(a asked) bool { return !now.Before(a.until) })
-	for i, a := range n.asked {
-		if a.from != from {
+// recordBackOff records until when a target asked one gateway for back-off, and reports
+// whether it was recorded: if it ends later by enough than the known back-off of that
+// gateway or, for another gateway, if fewer than quorum unexpired entries are known.
+func (s *targetSignals) recordBackOff(now time.Time, from string, until time.Time, version uint64) bool {
+	s.backOffs = slices.DeleteFunc(s.backOffs, func(r backOffRequest) bool { return !now.Before(r.until) })
+	for i, r := range s.backOffs {
+		if r.from != from {
 			continue
 		}
-		if until.Sub(a.until) < longerBy {
+		if until.Sub(r.until) < minExtension {
 			return false
 		}
-		n.asked[i] = asked{from: from, until: until, version: version}
+		s.backOffs[i] = backOffRequest{from: from, until: until, version: version}
 		return true
 	}
-	if len(n.asked) == quorum {
+	if len(s.backOffs) == quorum {
 		return false
 	}
-	n.asked = append(n.asked, asked{from: from, until: until, version: version})
+	s.backOffs = append(s.backOffs, backOffRequest{from: from, until: until, version: version})
 	return true
 }
 
-// Left is for how much longer a target asks enough gateways for back-off; 0 for not.
-func (b *Board) Left(now time.Time, life catalog.Life) time.Duration {
-	n := b.notices[life]
-	if n == nil {
+// BackOffRemaining returns for how much longer a target asks enough gateways for
+// back-off; 0 if it does not.
+func (b *Board) BackOffRemaining(now time.Time, life catalog.Life) time.Duration {
+	s := b.targets[life]
+	if s == nil {
 		return 0
 	}
-	return n.left(now)
+	return s.remaining(now)
 }
 
-// Avoided are the targets that all gateways avoid since they asked enough of them for back-off; none
-// where they are too large a share of some targets, which serve for each other. What it returns must
-// not be changed.
+// Avoided returns the targets that all gateways avoid because these asked enough of them
+// for back-off; nil if they are too large a share of the given targets, which serve in
+// place of each other. The result must not be modified.
 func (b *Board) Avoided(now time.Time, targets []catalog.Target) map[catalog.Life]bool {
-	asking := b.asking(now)
+	asking := b.askingForBackOff(now)
 	if len(asking) == 0 {
-		return nil // no look through all targets where none asks
+		return nil // skips the search through all targets in the common case
 	}
 	count := 0
 	for _, t := range targets {
@@ -185,57 +195,57 @@
 	return asking
 }
 
-// asking are all targets that ask enough gateways for back-off. They are looked for again once the board
-// has changed or the first of the back-offs has ended.
-func (b *Board) asking(now time.Time) map[catalog.Life]bool {
-	if c := b.lastAsking; c.version == b.log.Version() && now.Before(c.until) {
-		return c.lives
+// askingForBackOff returns all targets that ask enough gateways for back-off. The result
+// is cached until the board changes or the first of the back-offs ends.
+func (b *Board) askingForBackOff(now time.Time) map[catalog.Life]bool {
+	if cached := b.cachedAvoided; cached.version == b.log.Version() && now.Before(cached.until) {
+		return cached.lives
 	}
-	found := askingTargets{version: b.log.Version(), until: now.Add(longestShared)}
-	for life, n := range b.notices {
-		left := n.left(now)
-		if left == 0 {
+	fresh := avoidedSet{version: b.log.Version(), until: now.Add(maxSharedBackOff)}
+	for life, s := range b.targets {
+		remaining := s.remaining(now)
+		if remaining == 0 {
 			continue
 		}
-		if found.lives == nil {
-			found.lives = map[catalog.Life]bool{}
+		if fresh.lives == nil {
+			fresh.lives = map[catalog.Life]bool{}
 		}
-		found.lives[life] = true
-		if end := now.Add(left); end.Before(found.until) {
-			found.until = end
+		fresh.lives[life] = true
+		if end := now.Add(remaining); end.Before(fresh.until) {
+			fresh.until = end
 		}
 	}
-	b.lastAsking = found
-	return found.lives
+	b.cachedAvoided = fresh
+	return fresh.lives
 }
 
-// Len is how many targets are remembered.
-func (b *Board) Len() int { return len(b.notices) }
+// Len returns the number of targets that are remembered.
+func (b *Board) Len() int { return len(b.targets) }
 
-// Since lists what changed since a position of this board, the earliest changes first, and how far
-// that comes: not all where it is much.
+// Since returns what changed since a position of this board, the earliest changes first
+// and at most maxUpdates of them, and the position that they lead to.
 func (b *Board) Since(now time.Time, at changes.Position) ([]Update, changes.Position) {
 	after := b.log.After(at)
-	var lacking []changes.Change[Update]
-	for life, n := range b.notices {
-		if age := now.Sub(n.leftAt); n.leftVersion > after && age < leavingFor {
-			lacking = append(lacking, changes.Change[Update]{Version: n.leftVersion, Update: Update{Life: life, Leaving: true, Age: age}})
+	var missing []changes.Change[Update]
+	for life, s := range b.targets {
+		if age := now.Sub(s.leavingAt); s.leavingVersion > after && age < leavingLifetime {
+			missing = append(missing, changes.Change[Update]{Version: s.leavingVersion, Update: Update{Life: life, Leaving: true, Age: age}})
 		}
-		for _, a := range n.asked {
-			if left := a.until.Sub(now); a.version > after && left > 0 {
-				lacking = append(lacking, changes.Change[Update]{Version: a.version, Update: Update{Life: life, From: a.from, BackOff: left}})
+		for _, r := range s.backOffs {
+			if remaining := r.until.Sub(now); r.version > after && remaining > 0 {
+				missing = append(missing, changes.Change[Update]{Version: r.version, Update: Update{Life: life, From: r.from, BackOff: remaining}})
 			}
 		}
 	}
-	return changes.First(b.log, lacking, maxUpdates)
+	return changes.First(b.log, missing, maxUpdates)
 }
 
-// Tick forgets what is not shared any more. It should be called some times a minute.
+// Tick deletes what is not shared any more. It should be called several times a minute.
 func (b *Board) Tick(now time.Time) {
-	for life, n := range b.notices {
-		n.asked = slices.DeleteFunc(n.asked, func(a asked) bool { return !now.Before(a.until) })
-		if len(n.asked) == 0 && (n.leftAt.IsZero() || now.Sub(n.leftAt) >= leavingFor) {
-			delete(b.notices, life)
+	for life, s := range b.targets {
+		s.backOffs = slices.DeleteFunc(s.backOffs, func(r backOffRequest) bool { return !now.Before(r.until) })
+		if len(s.backOffs) == 0 && (s.leavingAt.IsZero() || now.Sub(s.leavingAt) >= leavingLifetime) {
+			delete(b.targets, life)
 		}
 	}
 }
--- a/core/gateway/signal/board_test.go
+++ b/core/gateway/signal/board_test.go
@@ -14,49 +14,49 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	shop  = catalog.Life{ID: "i-1", Born: 1}
+	start  = time.Unix(1000, 0)
+	target = catalog.Life{ID: "i-1", Born: 1}
 )
 
-func asks(from string, d time.Duration) signal.Update {
-	return signal.Update{Life: shop, From: from, BackOff: d}
+func backOffFrom(from string, d time.Duration) signal.Update {
+	return signal.Update{Life: target, From: from, BackOff: d}
 }
 
-func TestAllAvoidATargetOnceItAskedTwoGateways(t *testing.T) {
+func TestTargetIsAvoidedOnceItAskedTwoGatewaysForBackOff(t *testing.T) {
 	g := NewWithT(t)
 	b := signal.NewBoard(1)
-	g.Expect(b.Note(start, asks("a", 3*time.Second))).To(BeTrue())
-	g.Expect(b.Left(start, shop)).To(BeZero(), "one gateway may send too much")
-	g.Expect(b.Note(start, asks("a", 3*time.Second))).To(BeFalse(), "it is known")
-	g.Expect(b.Note(start.Add(time.Second), asks("b", 5*time.Second))).To(BeTrue())
-	g.Expect(b.Left(start.Add(time.Second), shop)).To(Equal(2*time.Second), "until the first is over")
-	g.Expect(b.Note(start.Add(time.Second), asks("c", 9*time.Second))).To(BeFalse(), "two are enough")
-	g.Expect(b.Left(start.Add(3*time.Second), shop)).To(BeZero())
-	g.Expect(b.Note(start.Add(4*time.Second), asks("c", 3*time.Second))).To(BeTrue(), "the first is over")
-	g.Expect(b.Left(start.Add(4*time.Second), shop)).To(Equal(2 * time.Second))
-	g.Expect(b.Left(start.Add(4*time.Second), catalog.Life{ID: "i-1", Born: 2})).To(BeZero(), "another start")
+	g.Expect(b.Record(start, backOffFrom("a", 3*time.Second))).To(BeTrue())
+	g.Expect(b.BackOffRemaining(start, target)).To(BeZero(), "a single gateway may be sending too much")
+	g.Expect(b.Record(start, backOffFrom("a", 3*time.Second))).To(BeFalse(), "already known")
+	g.Expect(b.Record(start.Add(time.Second), backOffFrom("b", 5*time.Second))).To(BeTrue())
+	g.Expect(b.BackOffRemaining(start.Add(time.Second), target)).To(Equal(2*time.Second), "until the first back-off ends")
+	g.Expect(b.Record(start.Add(time.Second), backOffFrom("c", 9*time.Second))).To(BeFalse(), "two gateways are enough")
+	g.Expect(b.BackOffRemaining(start.Add(3*time.Second), target)).To(BeZero())
+	g.Expect(b.Record(start.Add(4*time.Second), backOffFrom("c", 3*time.Second))).To(BeTrue(), "the first back-off has ended")
+	g.Expect(b.BackOffRemaining(start.Add(4*time.Second), target)).To(Equal(2 * time.Second))
+	g.Expect(b.BackOffRemaining(start.Add(4*time.Second), catalog.Life{ID: "i-1", Born: 2})).To(BeZero(), "another incarnation")
 }
 
-func TestABackOffThatIsLongerByLittleIsNotSharedAgain(t *testing.T) {
+func TestSlightlyLongerBackOffIsNotSharedAgain(t *testing.T) {
 	g := NewWithT(t)
 	b := signal.NewBoard(1)
-	b.Note(start, asks("a", 3*time.Second))
+	b.Record(start, backOffFrom("a", 3*time.Second))
 	at := b.Position()
 	for ms := range 400 {
-		g.Expect(b.Note(start.Add(time.Duration(ms)*time.Millisecond), asks("a", 3*time.Second))).To(BeFalse())
+		g.Expect(b.Record(start.Add(time.Duration(ms)*time.Millisecond), backOffFrom("a", 3*time.Second))).To(BeFalse())
 	}
 	g.Expect(b.Position()).To(Equal(at))
-	g.Expect(b.Note(start.Add(time.Second), asks("a", 3*time.Second))).To(BeTrue())
+	g.Expect(b.Record(start.Add(time.Second), backOffFrom("a", 3*time.Second))).To(BeTrue())
 }
 
-func TestWhatCannotBeSoIsNotTakenIn(t *testing.T) {
+func TestInvalidUpdatesAreIgnored(t *testing.T) {
 	for name, u := range map[string]signal.Update{
-		"nothing":          {Life: shop, From: "a"},
-		"no target":        {From: "a", BackOff: time.Second},
-		"below zero":       {Life: shop, BackOff: -1},
-		"an hour":          {Life: shop, BackOff: time.Hour},
-		"left in the past": {Life: shop, Leaving: true, Age: time.Hour},
-		"will have left":   {Life: shop, Leaving: true, Age: -1},
+		"no signal":                       {Life: target, From: "a"},
+		"no target":                       {From: "a", BackOff: time.Second},
+		"negative back-off":               {Life: target, BackOff: -1},
+		"too long a back-off":             {Life: target, BackOff: time.Hour},
+		"leaving signalled too long ago":  {Life: target, Leaving: true, Age: time.Hour},
+		"leaving signalled in the future": {Life: target, Leaving: true, Age: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -67,66 +67,67 @@
 	}
 }
 
-// A target asks a gateway for an hour; the others hold back for a minute at a time.
-func TestALongBackOffIsSharedInParts(t *testing.T) {
+// A target asks a gateway for an hour; the back-off that other gateways see is at most a
+// minute at a time.
+func TestSharedBackOffIsCappedAtOneMinute(t *testing.T) {
 	g := NewWithT(t)
 	b := signal.NewBoard(1)
-	g.Expect(b.Note(start, asks("a", time.Hour))).To(BeTrue())
-	b.Note(start, asks("b", time.Hour))
-	g.Expect(b.Left(start, shop)).To(Equal(time.Minute))
+	g.Expect(b.Record(start, backOffFrom("a", time.Hour))).To(BeTrue())
+	b.Record(start, backOffFrom("b", time.Hour))
+	g.Expect(b.BackOffRemaining(start, target)).To(Equal(time.Minute))
 }
 
-func TestABoardStaysBounded(t *testing.T) {
+func TestBoardSizeIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	b := signal.NewBoard(1)
 	for i := range 5000 {
-		b.Note(start, signal.Update{Life: catalog.Life{ID: fmt.Sprint(i)}, From: "a", BackOff: time.Second, Leaving: i%2 == 0})
+		b.Record(start, signal.Update{Life: catalog.Life{ID: fmt.Sprint(i)}, From: "a", BackOff: time.Second, Leaving: i%2 == 0})
 	}
 	g.Expect(b.Len()).To(BeNumerically("<=", 256))
 	updates, to := b.Since(start, changes.Position{})
 	g.Expect(len(updates)).To(BeNumerically("<=", 32))
 	g.Expect(to.Version).To(BeNumerically("<", b.Position().Version))
 	b.Tick(start.Add(time.Second))
-	g.Expect(b.Len()).To(BeNumerically("<=", 128), "those that leave")
+	g.Expect(b.Len()).To(BeNumerically("<=", 128), "the leaving targets remain")
 	b.Tick(start.Add(time.Minute))
 	g.Expect(b.Len()).To(BeZero())
 }
 
-// Gateways tell each other what they heard, at random, until nobody has news: that ends, all know
-// the same, and nothing comes back once it has lapsed.
-func TestBoardsEndAlikeAndForgetAlike(t *testing.T) {
+// Gateways exchange updates at random until none has a new one: the exchange ends, all
+// have the same state, and no expired state returns.
+func TestBoardsConvergeAndExpire(t *testing.T) {
 	const gateways = 12
 	for seed := range uint64(200) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(seed, 1))
 		var boards []*signal.Board
-		heard := map[[2]int]changes.Position{}
+		positions := map[[2]int]changes.Position{}
 		for i := range gateways {
 			boards = append(boards, signal.NewBoard(uint64(i+1)))
 			if random.IntN(2) == 0 {
-				boards[i].Note(start, asks(fmt.Sprint(i), time.Duration(1+random.IntN(5))*time.Second))
+				boards[i].Record(start, backOffFrom(fmt.Sprint(i), time.Duration(1+random.IntN(5))*time.Second))
 			}
 		}
-		boards[random.IntN(gateways)].Note(start, signal.Update{Life: shop, From: "x", Leaving: true})
-		now, told := start, 0
+		boards[random.IntN(gateways)].Record(start, signal.Update{Life: target, From: "x", Leaving: true})
+		now, forwarded := start, 0
 		exchange := func(from, to int) bool {
-			updates, at := boards[from].Since(now, heard[[2]int{to, from}])
-			heard[[2]int{to, from}] = at
+			updates, at := boards[from].Since(now, positions[[2]int{to, from}])
+			positions[[2]int{to, from}] = at
 			now = now.Add(2 * time.Millisecond)
 			return len(boards[to].Merge(now, updates)) > 0
 		}
 		for quiet := 0; quiet < 20*gateways*gateways; quiet++ {
 			if exchange(random.IntN(gateways), random.IntN(gateways)) {
 				quiet = 0
-				told++
+				forwarded++
 			}
 		}
-		g.Expect(told).To(BeNumerically("<=", 5*gateways))
+		g.Expect(forwarded).To(BeNumerically("<=", 5*gateways))
 		for _, b := range boards {
-			g.Expect(b.Left(now, shop) > 0).To(Equal(boards[0].Left(now, shop) > 0))
+			g.Expect(b.BackOffRemaining(now, target) > 0).To(Equal(boards[0].BackOffRemaining(now, target) > 0))
 		}
 		now = start.Add(time.Hour)
-		heard = map[[2]int]changes.Position{} // all meet anew
+		positions = map[[2]int]changes.Position{} // all exchange from the start
 		for range 20 * gateways * gateways {
 			exchange(random.IntN(gateways), random.IntN(gateways))
 		}
@@ -137,8 +138,9 @@
 	}
 }
 
-// Where most targets of a service ask, the others would get more than they can serve, and ask as well.
-func TestNoTargetIsAvoidedWhereMostAskForBackOff(t *testing.T) {
+// If most targets of a service ask for back-off, the others would get more than they can
+// serve, and ask as well.
+func TestNoTargetIsAvoidedIfMostAskForBackOff(t *testing.T) {
 	g := NewWithT(t)
 	b := signal.NewBoard(1)
 	var targets []catalog.Target
@@ -148,7 +150,7 @@
 	g.Expect(b.Avoided(start, targets)).To(BeEmpty())
 	for i, target := range targets {
 		for _, from := range []string{"a", "b"} {
-			b.Note(start, signal.Update{Life: target.Life(), From: from, BackOff: 3 * time.Second})
+			b.Record(start, signal.Update{Life: target.Life(), From: from, BackOff: 3 * time.Second})
 		}
 		if i < 7 {
 			g.Expect(b.Avoided(start, targets)).To(HaveLen(i+1), "%d of ten ask", i+1)
@@ -160,7 +162,7 @@
 	g.Expect(b.Avoided(start.Add(3*time.Second), targets)).To(BeEmpty())
 }
 
-func TestAvoidedTargetsAreThoseThatAskNow(t *testing.T) {
+func TestAvoidedMatchesRemainingBackOff(t *testing.T) {
 	var targets []catalog.Target
 	for i := range 40 {
 		targets = append(targets, catalog.Target{ID: fmt.Sprint("i-", i)})
@@ -172,7 +174,7 @@
 		for range 300 {
 			now = now.Add(time.Duration(random.IntN(300)) * time.Millisecond)
 			target := targets[random.IntN(20)] // at most half of them ask
-			b.Note(now, signal.Update{
+			b.Record(now, signal.Update{
 				Life: target.Life(), From: fmt.Sprint(random.IntN(4)), BackOff: time.Duration(random.IntN(5000)) * time.Millisecond, Leaving: random.IntN(9) == 0,
 			})
 			if random.IntN(50) == 0 {
@@ -180,7 +182,7 @@
 			}
 			avoided := b.Avoided(now, targets)
 			for _, t := range targets {
-				g.Expect(avoided[t.Life()]).To(Equal(b.Left(now, t.Life()) > 0), "seed %d", seed)
+				g.Expect(avoided[t.Life()]).To(Equal(b.BackOffRemaining(now, t.Life()) > 0), "seed %d", seed)
 			}
 		}
 	}
--- a/core/gateway/signal/signal.go
+++ b/core/gateway/signal/signal.go
@@ -1,9 +1,9 @@
-// Package signal holds what a target says of itself in the head of an answer, whatever the answer
-// is to: a request, a health probe, or a request that nobody waits for any more.
+// Package signal defines what a target signals about itself in the headers of an answer,
+// whatever the answer is to: a request, a health probe, or an abandoned request.
 //
-// It also holds what gateways share of that (Board). It relies on core/gateway/catalog for naming
-// targets and does no I/O; internal/gateway/upstream reads signals from the wire, and
-// internal/gateway/signals has them shared.
+// It also holds the signals that gateways share (Board). It depends on
+// core/gateway/catalog for naming targets and does no I/O; internal/gateway/upstream
+// parses signals from the wire, and internal/gateway/signals shares them.
 //
 // # Usage
 //
@@ -15,14 +15,14 @@
 
 import "time"
 
-// Signals are those of one answer.
+// Signals are the signals in one answer.
 type Signals struct {
-	// BackOff is for how long the target asks to be sent nothing by this gateway; 0 if it does
-	// not ask.
+	// BackOff is for how long the target asks this gateway to send it nothing; 0 if it
+	// does not ask.
 	BackOff time.Duration
-	// Leaving says that the target drains and then ends.
+	// Leaving says that the target is draining and then ends.
 	Leaving bool
 }
 
-// IsZero says whether the answer says nothing.
+// IsZero reports whether the answer contains no signal.
 func (s Signals) IsZero() bool { return s == Signals{} }
--- a/core/gateway/warmup/warmup.go
+++ b/core/gateway/warmup/warmup.go
@@ -1,32 +1,33 @@
-// Package warmup decides when a cold target takes a request: one that has just started,
-// or stands in a hall that was taken back, is slow and bears few requests a second from
-// all gateways together. It owns what is known of one service's cold targets and this
-// gateway's share of what they bear.
+// Package warmup decides when a cold target gets a request: a target that has just
+// started, or whose hall was returned to service after an evacuation, is slow and can
+// handle only few requests a second from all gateways together. The package owns what is
+// known of one service's cold targets and this gateway's share of their capacity.
 //
-// Gateways agree on nothing and each sees the same idle target at the same moment, so
-// that two things bound what a cold target gets, each where the other is weak:
+// Gateways do not coordinate and each sees the same idle target at the same moment, so
+// that two rules limit what a cold target gets. Each covers the weakness of the other:
 //
-//   - By its own report it has nothing to do (Turns.Idle). However many gateways look,
-//     what the first of them sends keeps the others away, but for those that looked
-//     within the milliseconds until it came.
-//   - By share: what all cold targets of the service bear in a second, divided by the
-//     gateways that there are, is this gateway's to send (Turns.Take). It does not depend
-//     on reports, and how many gateways there are need only be known roughly.
+//   - Reports: a target gets a request only if it reports no other requests
+//     (Idle). However many gateways probe it, the first request sent keeps the others
+//     away, except for gateways that probed within the milliseconds until it arrived.
+//   - Shares: the requests a second that all cold targets of the service can handle,
+//     divided by the number of gateways, are this gateway's to send (Limiter.Take). This
+//     does not depend on reports, and the number of gateways need only be known roughly.
 //
-// Simulated with this code (warmup_test.go): 40 targets that turn cold in one moment, of
-// which each may get 11 in a second, 1 to 2,072 gateways, up to 3,000 looks a second at
-// each target. The most that one got in a second: by reports alone 9, 19 and 61 with 30,
-// 300 and 3,000 looks, by shares alone 11, by both 6, and 9 where only half of the
-// gateways are known to be there.
+// Simulated with this code (warmup_test.go): 40 targets that become cold at the same
+// moment, each of which may get 11 requests in a second, 1 to 2,072 gateways, up to 3,000
+// probes a second of each target. The most requests that one target got in a second: with
+// reports alone 9, 19 and 61 at 30, 300 and 3,000 probes, with shares alone 11, with both
+// 6, and with both 9 if only half of the gateways are known.
 //
-// It relies on nothing else, does no I/O, and reads no clock.
+// It depends only on core/gateway/catalog for naming targets, does no I/O, and reads no
+// clock.
 //
 // # Usage
 //
-//	turns := warmup.New(rand.Float64())
-//	turns.Observe(now, "i-1", 3*time.Second)
-//	if turns.Take(now, warmup.Share{PerSecond: 2.5, Cold: 40, Gateways: 95}) {
-//		// one request may go to a cold target that has nothing to do
+//	limiter := warmup.New(rand.Float64())
+//	limiter.Observe(now, "i-1", 3*time.Second)
+//	if limiter.Take(now, warmup.Share{PerSecond: 2.5, Cold: 40, Gateways: 95}) {
+//		// one request may go to an idle cold target
 //	}
 package warmup
 
@@ -37,102 +38,105 @@
 )
 
 const (
-	// longestPause bounds the time between two looks for which a share grows: one that
-	// grew for long, in all gateways alike, would be spent by all at once. The
-	// span over which what a cold target gets is counted.
-	longestPause = time.Second
-	// forgetAfter is how long what a target said is remembered, and keptTargets how many
-	// are before any are forgotten.
-	forgetAfter = time.Minute
-	keptTargets = 512
+	// maxAccrual bounds the time between two calls for which the share accrues: a share
+	// that accrued for long, in all gateways alike, would be used by all at once. It is
+	// the span over which the requests to a cold target are counted.
+	maxAccrual = time.Second
+	// reportLifetime is how long the report of a target is kept, and maxReports how many
+	// are kept before expired ones are deleted.
+	reportLifetime = time.Minute
+	maxReports     = 512
 )
 
-// Share is what this gateway's share is worked out from.
+// Share holds the figures from which this gateway's share is computed.
 type Share struct {
-	// PerSecond is how many requests a second one cold target bears; 0 where nobody
-	// says, so that reports alone decide.
+	// PerSecond is how many requests a second one cold target can handle; 0 if not
+	// configured, so that reports alone decide.
 	PerSecond float64
-	// Cold is how many targets of the service are cold, and Gateways how many gateways
-	// there are.
+	// Cold is the number of cold targets of the service, and Gateways the number of
+	// gateways.
 	Cold     int
 	Gateways int
 }
 
-// rate is how many requests a second this gateway may send to cold targets.
+// rate returns how many requests a second this gateway may send to cold targets.
 func (s Share) rate() float64 { return s.PerSecond * float64(s.Cold) / float64(max(s.Gateways, 1)) }
 
-// report is what a target said of itself at a moment.
+// report is what a target reported of itself at a time.
 type report struct {
-	at   time.Time
-	warm time.Time // when it is warm again
+	updated time.Time
+	warmAt  time.Time // when it stops being cold
 }
 
-// Turns holds one service's cold targets and this gateway's turns at them. It is not safe
-// for concurrent use.
-type Turns struct {
+// Limiter holds one service's cold targets and this gateway's tokens for sending to them.
+// It is not safe for concurrent use.
+type Limiter struct {
 	reports map[catalog.Life]report
-	// credit is how many turns are left, and at when it last grew.
-	credit float64
-	at     time.Time
+	// tokens is the number of tokens left, and updated the time when it last grew.
+	tokens  float64
+	updated time.Time
 }
 
-// New makes one that knows of no cold target. draw is a random number in [0, 1), the
-// part of a turn that a gateway begins with: theirs don't come at the same moment.
-func New(draw float64) *Turns { return &Turns{reports: map[catalog.Life]report{}, credit: draw} }
+// New returns a limiter without cold targets. initial is a random number in [0, 1), the
+// part of a token that a gateway starts with, so that the tokens of different gateways
+// don't arrive at the same moment.
+func New(initial float64) *Limiter {
+	return &Limiter{reports: map[catalog.Life]report{}, tokens: initial}
+}
 
-// Observe takes in for how much longer a target says that it is cold; 0 for not.
-func (t *Turns) Observe(now time.Time, life catalog.Life, remaining time.Duration) {
+// Observe records for how much longer a target reports that it is cold; 0 if it does not.
+func (t *Limiter) Observe(now time.Time, life catalog.Life, remaining time.Duration) {
 	if _, known := t.reports[life]; !known && remaining <= 0 {
-		return // most targets, most of the time
+		return // the common case
 	}
-	t.reports[life] = report{at: now, warm: now.Add(remaining)}
-	if len(t.reports) > keptTargets {
-		t.forget(now)
+	t.reports[life] = report{updated: now, warmAt: now.Add(remaining)}
+	if len(t.reports) > maxReports {
+		t.deleteExpired(now)
 	}
 }
 
-func (t *Turns) forget(now time.Time) {
+func (t *Limiter) deleteExpired(now time.Time) {
 	for life, r := range t.reports {
-		if now.Sub(r.at) > forgetAfter {
+		if now.Sub(r.updated) > reportLifetime {
 			delete(t.reports, life)
 		}
 	}
 }
 
-// IsCold says whether a target is cold: by what it says itself, or by what its entry says
-// (listed) where it has said nothing.
-func (t *Turns) IsCold(now time.Time, life catalog.Life, listed bool) bool {
-	if r, said := t.reports[life]; said {
-		return now.Before(r.warm)
+// IsCold reports whether a target is cold: by its own report, or by its entry in the
+// store (listed) if it has not reported.
+func (t *Limiter) IsCold(now time.Time, life catalog.Life, listed bool) bool {
+	if r, reported := t.reports[life]; reported {
+		return now.Before(r.warmAt)
 	}
 	return listed
 }
 
-// Idle says whether a cold target has nothing to do by its report.
+// Idle reports whether a cold target has no requests according to its report.
 func Idle(running, waiting int) bool { return running == 0 && waiting == 0 }
 
-// Has says whether there is a turn.
-func (t *Turns) Has(now time.Time, s Share) bool {
-	t.grow(now, s)
-	return s.PerSecond == 0 || t.credit >= 1
+// HasToken reports whether a token is available.
+func (t *Limiter) HasToken(now time.Time, s Share) bool {
+	t.refill(now, s)
+	return s.PerSecond == 0 || t.tokens >= 1
 }
 
-// Take takes a turn, if there is one.
-func (t *Turns) Take(now time.Time, s Share) bool {
-	if !t.Has(now, s) {
+// Take takes a token and reports whether one was available.
+func (t *Limiter) Take(now time.Time, s Share) bool {
+	if !t.HasToken(now, s) {
 		return false
 	}
-	t.credit = max(t.credit-1, 0)
+	t.tokens = max(t.tokens-1, 0)
 	return true
 }
 
-// grow adds what has come to this gateway since the last look, up to one turn or what
-// comes in the time of a look.
-func (t *Turns) grow(now time.Time, s Share) {
-	since := min(now.Sub(t.at), longestPause)
-	if t.at.IsZero() {
-		since = 0
+// refill adds the tokens that have accrued since the last call, up to one token and for
+// at most maxAccrual.
+func (t *Limiter) refill(now time.Time, s Share) {
+	elapsed := min(now.Sub(t.updated), maxAccrual)
+	if t.updated.IsZero() {
+		elapsed = 0
 	}
-	t.at = now
-	t.credit = min(t.credit+s.rate()*since.Seconds(), 1)
+	t.updated = now
+	t.tokens = min(t.tokens+s.rate()*elapsed.Seconds(), 1)
 }
--- a/core/gateway/warmup/warmup_test.go
+++ b/core/gateway/warmup/warmup_test.go
@@ -13,87 +13,89 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/warmup"
 )
 
-var begin = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
-func at(d time.Duration) time.Time { return begin.Add(d) }
+func at(d time.Duration) time.Time { return start.Add(d) }
 
-func TestWhatATargetSaysGoesBeforeItsEntry(t *testing.T) {
+func TestReportOfTargetOverridesItsStoreEntry(t *testing.T) {
 	g := NewWithT(t)
-	turns := warmup.New(0)
+	limiter := warmup.New(0)
 	target := catalog.Life{ID: "a"}
-	g.Expect(turns.IsCold(begin, target, true)).To(BeTrue(), "its entry is all that is known")
-	turns.Observe(begin, target, 0)
-	g.Expect(turns.IsCold(begin, target, true)).To(BeTrue(), "it does not say that it is cold; the entry does")
-	turns.Observe(begin, target, 2*time.Second)
-	g.Expect(turns.IsCold(at(1999*time.Millisecond), target, false)).To(BeTrue())
-	g.Expect(turns.IsCold(at(2*time.Second), target, true)).To(BeFalse())
-	turns.Observe(at(time.Second), target, 0)
-	g.Expect(turns.IsCold(at(time.Second), target, true)).To(BeFalse(), "its entry is older")
+	g.Expect(limiter.IsCold(start, target, true)).To(BeTrue(), "only its entry is known")
+	limiter.Observe(start, target, 0)
+	g.Expect(limiter.IsCold(start, target, true)).To(BeTrue(), "a report that it is not cold is ignored until it has reported that it is")
+	limiter.Observe(start, target, 2*time.Second)
+	g.Expect(limiter.IsCold(at(1999*time.Millisecond), target, false)).To(BeTrue())
+	g.Expect(limiter.IsCold(at(2*time.Second), target, true)).To(BeFalse())
+	limiter.Observe(at(time.Second), target, 0)
+	g.Expect(limiter.IsCold(at(time.Second), target, true)).To(BeFalse(), "the report is newer than its entry")
 }
 
-func TestATurnComesByTheShareOfAllThatColdTargetsBear(t *testing.T) {
+func TestTokensArriveAtShareOfColdCapacity(t *testing.T) {
 	g := NewWithT(t)
 	share := warmup.Share{PerSecond: 2.5, Cold: 40, Gateways: 100} // one a second
-	turns := warmup.New(0.5)
-	g.Expect(turns.Take(begin, share)).To(BeFalse())
-	g.Expect(turns.Has(at(499*time.Millisecond), share)).To(BeFalse())
-	g.Expect(turns.Has(at(501*time.Millisecond), share)).To(BeTrue())
-	g.Expect(turns.Take(at(501*time.Millisecond), share)).To(BeTrue())
-	g.Expect(turns.Take(at(502*time.Millisecond), share)).To(BeFalse())
-	g.Expect(turns.Take(at(time.Hour), share)).To(BeTrue())
-	g.Expect(turns.Take(at(time.Hour), share)).To(BeFalse(), "none is saved up")
-	g.Expect(turns.Take(at(time.Hour), warmup.Share{})).To(BeTrue(), "nobody says what a cold target bears")
+	limiter := warmup.New(0.5)
+	g.Expect(limiter.Take(start, share)).To(BeFalse())
+	g.Expect(limiter.HasToken(at(499*time.Millisecond), share)).To(BeFalse())
+	g.Expect(limiter.HasToken(at(501*time.Millisecond), share)).To(BeTrue())
+	g.Expect(limiter.Take(at(501*time.Millisecond), share)).To(BeTrue())
+	g.Expect(limiter.Take(at(502*time.Millisecond), share)).To(BeFalse())
+	g.Expect(limiter.Take(at(time.Hour), share)).To(BeTrue())
+	g.Expect(limiter.Take(at(time.Hour), share)).To(BeFalse(), "tokens are not accumulated")
+	g.Expect(limiter.Take(at(time.Hour), warmup.Share{})).To(BeTrue(), "the capacity of cold targets is not configured")
 	alone := warmup.Share{PerSecond: 2.5, Cold: 40}
-	g.Expect(turns.Take(at(time.Hour+10*time.Millisecond), alone)).To(BeTrue(), "all of it is one gateway's")
+	g.Expect(limiter.Take(at(time.Hour+10*time.Millisecond), alone)).To(BeTrue(), "the whole capacity is one gateway's")
 }
 
-// What targets that turn cold in one moment get from all gateways together, by this
-// package's rules, is bounded: what the users allow is 2.5 x 1.5 + 8 in a second.
-func TestColdTargetsGetNoMoreThanTheyBear(t *testing.T) {
+// The rate at which targets that become cold at the same moment get requests from all
+// gateways together is bounded: the users allow 2.5 x 1.5 + 8 in a second.
+func TestColdTargetsAreNotOverloaded(t *testing.T) {
 	const allowed = 11
 	for _, gateways := range []int{1, 17, 95, 473, 2072} {
-		for _, looks := range []float64{30, 300, 3000} {
+		for _, probesPerSecond := range []float64{30, 300, 3000} {
 			for _, error := range []float64{0.5, 1, 2} {
-				t.Run(fmt.Sprintf("%d gateways, %.0f looks a second, %.1f times as many taken for there", gateways, looks, error), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d gateways, %.0f probes a second, %.1f times as many assumed", gateways, probesPerSecond, error), func(t *testing.T) {
 					g := NewWithT(t)
-					s := &coldSpell{gateways: gateways, looks: looks, believed: max(int(error*float64(gateways)), 1), reports: true, shares: true}
-					most, mean := s.play(1)
-					t.Logf("a target got %d in a second at most, %.1f on average", most, mean)
+					s := &simulation{gateways: gateways, probesPerSecond: probesPerSecond, assumedGateways: max(int(error*float64(gateways)), 1), reports: true, shares: true}
+					most, mean := s.run(1)
+					t.Logf("a target got at most %d requests in a second, %.1f on average", most, mean)
 					g.Expect(most).To(BeNumerically("<=", allowed))
-					g.Expect(mean).To(BeNumerically(">", 0.2), "they serve what they can")
+					g.Expect(mean).To(BeNumerically(">", 0.2), "cold targets still get requests")
 				})
 			}
 		}
 	}
 }
 
-// The ways that were weighed; figures stand in docs/design/shifted-work.md.
-func TestTheWaysThatWereWeighed(t *testing.T) {
-	for name, c := range map[string]coldSpell{
+// Logs the results of each rule alone and of both; the figures are in
+// docs/design/shifted-work.md.
+func TestCompareReportsAndShares(t *testing.T) {
+	for name, c := range map[string]simulation{
 		"reports alone": {reports: true},
 		"shares alone":  {shares: true},
 		"both":          {reports: true, shares: true},
 	} {
 		for _, gateways := range []int{1, 17, 95, 473, 2072} {
-			for _, looks := range []float64{30, 300, 3000} {
+			for _, probesPerSecond := range []float64{30, 300, 3000} {
 				s := c
-				s.gateways, s.believed, s.looks = gateways, gateways, looks
-				most, mean := s.play(2)
-				t.Logf("%s, %d gateways, %.0f looks: %d at most, %.1f on average", name, gateways, looks, most, mean)
+				s.gateways, s.assumedGateways, s.probesPerSecond = gateways, gateways, probesPerSecond
+				most, mean := s.run(2)
+				t.Logf("%s, %d gateways, %.0f probes: %d at most, %.1f on average", name, gateways, probesPerSecond, most, mean)
 			}
 		}
 	}
 }
 
-// coldSpell plays 40 targets of 2 slots that turn cold in one moment while they work on
-// what they have, and gateways that look for somebody to take a request.
-type coldSpell struct {
+// simulation simulates 40 targets of 2 slots that become cold at the same moment while
+// they work on their current requests, and gateways that search for a target for each
+// request.
+type simulation struct {
 	gateways int
-	// believed is how many gateways each takes for there.
-	believed int
-	// looks is how often a second all gateways together look at each target.
-	looks float64
-	// reports and shares say which of the two rules are kept.
+	// assumedGateways is the number of gateways that each gateway assumes to exist.
+	assumedGateways int
+	// probesPerSecond is how often per second all gateways together probe each target.
+	probesPerSecond float64
+	// reports and shares say which of the two rules are applied.
 	reports, shares bool
 
 	random  *rand.Rand
@@ -104,11 +106,12 @@
 const (
 	coldTargets = 40
 	coldFor     = 5 * time.Second
-	// work is what a request takes at a cold target.
-	work = 200 * time.Millisecond
-	// answerAge is how old a report is at most when a request that goes by it arrives.
-	answerAge = 8 * time.Millisecond
-	slots     = 2
+	// requestTime is the time of a request at a cold target.
+	requestTime = 200 * time.Millisecond
+	// maxReportAge is the maximum age of a report when a request that was sent because of
+	// it arrives.
+	maxReportAge = 8 * time.Millisecond
+	slots        = 2
 )
 
 type coldTarget struct {
@@ -116,10 +119,10 @@
 	arrivals []time.Duration
 }
 
-// event is something that happens at a moment of the spell.
+// event is an action at a time of the simulation.
 type event struct {
-	at time.Duration
-	do func()
+	at     time.Duration
+	action func()
 }
 
 type eventQueue []event
@@ -129,69 +132,71 @@
 func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
 func (q *eventQueue) Pop() any {
-	last := (*q)[len(*q)-1]
+	latest := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
-	return last
+	return latest
 }
 
-func (s *coldSpell) after(now, d time.Duration, do func()) { heap.Push(&s.events, event{now + d, do}) }
+func (s *simulation) after(now, d time.Duration, action func()) {
+	heap.Push(&s.events, event{now + d, action})
+}
 
-// play returns the most that a target got in any second, and the mean.
-func (s *coldSpell) play(seed uint64) (most int, mean float64) {
+// run returns the most requests that a target got in any second, and the mean.
+func (s *simulation) run(seed uint64) (most int, mean float64) {
 	s.random = rand.New(rand.NewPCG(seed, uint64(s.gateways)))
-	turns := make([]*warmup.Turns, s.gateways)
-	for i := range turns {
-		turns[i] = warmup.New(s.random.Float64())
+	limiters := make([]*warmup.Limiter, s.gateways)
+	for i := range limiters {
+		limiters[i] = warmup.New(s.random.Float64())
 	}
 	for i := range s.targets {
 		s.targets[i].running = slots
 		for range slots {
-			s.after(0, time.Duration(s.random.Float64()*float64(work)), func() { s.targets[i].running-- })
+			s.after(0, time.Duration(s.random.Float64()*float64(requestTime)), func() { s.targets[i].running-- })
 		}
 	}
-	for now := time.Duration(0); now < coldFor; now += s.untilLook() {
+	for now := time.Duration(0); now < coldFor; now += s.untilNextProbe() {
 		id, gateway := s.random.IntN(coldTargets), s.random.IntN(s.gateways)
-		s.after(now, 0, func() { s.look(now, id, turns[gateway]) })
+		s.after(now, 0, func() { s.probe(now, id, limiters[gateway]) })
 	}
 	for s.events.Len() > 0 {
-		heap.Pop(&s.events).(event).do()
+		heap.Pop(&s.events).(event).action()
 	}
-	return s.count()
+	return s.summarize()
 }
 
-func (s *coldSpell) untilLook() time.Duration {
-	return time.Duration(s.random.ExpFloat64() / (s.looks * coldTargets) * float64(time.Second))
+func (s *simulation) untilNextProbe() time.Duration {
+	return time.Duration(s.random.ExpFloat64() / (s.probesPerSecond * coldTargets) * float64(time.Second))
 }
 
-func (s *coldSpell) look(now time.Duration, id int, turns *warmup.Turns) {
+func (s *simulation) probe(now time.Duration, id int, limiter *warmup.Limiter) {
 	target := &s.targets[id]
 	if s.reports && !warmup.Idle(target.running, 0) {
 		return
 	}
-	if s.shares && !turns.Take(at(now), warmup.Share{PerSecond: 2.5, Cold: coldTargets, Gateways: s.believed}) {
+	if s.shares && !limiter.Take(at(now), warmup.Share{PerSecond: 2.5, Cold: coldTargets, Gateways: s.assumedGateways}) {
 		return
 	}
-	arrives := time.Duration(s.random.Float64() * float64(answerAge))
+	arrives := time.Duration(s.random.Float64() * float64(maxReportAge))
 	s.after(now, arrives, func() {
 		target.arrivals = append(target.arrivals, now+arrives)
 		target.running++
-		s.after(now+arrives, work, func() { target.running-- })
+		s.after(now+arrives, requestTime, func() { target.running-- })
 	})
 }
 
-func (s *coldSpell) count() (most int, mean float64) {
-	all := 0
+func (s *simulation) summarize() (most int, mean float64) {
+	total := 0
 	for _, target := range s.targets {
-		all += len(target.arrivals)
-		for i, last := range target.arrivals {
-			in := 0
+		total += len(target.arrivals)
+		for i, latest := range target.arrivals {
+			sends := 0
 			for _, other := range target.arrivals[:i+1] {
-				if last-other < time.Second {
-					in++
+				if latest-other < time.Second {
+					sends++
 				}
 			}
-			most = max(most, in)
+			most = max(most, sends)
 		}
 	}
-	return most, float64(all) / coldTargets / coldFor.Seconds()
+	return most, float64(total) / coldTargets / coldFor.Seconds()
 }
--- a/internal/gateway/forward/balancer.go
+++ b/internal/gateway/forward/balancer.go
@@ -42,7 +42,7 @@
 	if s.failure.Verdict() != verdict.NotRun {
 		h.mayHaveRun = true
 	}
-	if s.answer == nil || !s.outcome.HasOwnAnswer() {
+	if s.answer == nil || !s.outcome.HasTargetAnswer() {
 		s.drop()
 		return
 	}
@@ -89,7 +89,7 @@
 // giveUp ends a request with the failure that a target answered, or with one of
 // the gateway's.
 func (b *balancer) giveUp(req *request, svc *service, past history, failure *verdict.Error) (*upstream.Answer, *verdict.Error) {
-	if past.answer != nil && refusal.PassesOwn(failure) {
+	if past.answer != nil && refusal.MayForwardTargetAnswer(failure) {
 		return past.answer, nil
 	}
 	past.drop()
@@ -114,10 +114,10 @@
 	case verdict.ReasonTargetsSpent:
 		return max(failure.RetryAfter(), refusal.RetryAfter(req.deadline.Client().Sub(b.options.Clock()), b.options.Draw()))
 	case verdict.ReasonTargetsBackOff:
-		return refusal.AfterOpening(failure.RetryAfter(), req.deadline.Client().Sub(b.options.Clock()), b.options.Draw())
+		return refusal.RetryAfterUnavailable(failure.RetryAfter(), req.deadline.Client().Sub(b.options.Clock()), b.options.Draw())
 	}
-	if failure.Reason() == verdict.ReasonShed && svc.room(b.options.Clock()).IsOpen() {
-		return refusal.AtOnce(b.options.Draw())
+	if failure.Reason() == verdict.ReasonShed && svc.room(b.options.Clock()).AllowsImmediateRetry() {
+		return refusal.ImmediateRetryAfter(b.options.Draw())
 	}
 	left := req.deadline.Client().Sub(b.options.Clock())
 	return refusal.RetryAfter(left, b.options.Draw())
--- a/internal/gateway/forward/request.go
+++ b/internal/gateway/forward/request.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		address = r.in.RemoteAddr // whole, where it has no port
 	}
-	return fingerprint.Of(fingerprint.Request{
+	return fingerprint.Compute(fingerprint.Request{
 		Method: r.in.Method, Host: r.in.Host, URI: r.in.RequestURI, Body: r.body, Address: address,
 		Credentials: []string{r.in.Header.Get(headerKey), r.in.Header.Get("Cookie")},
 	})
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -23,7 +23,7 @@
 // name is how the send ended, as logs and metrics name it: the status of the
 // target's answer, or why there is none that counts.
 func (s sent) name() string {
-	if s.failure != nil && !s.outcome.HasOwnAnswer() {
+	if s.failure != nil && !s.outcome.HasTargetAnswer() {
 		return string(s.failure.Reason())
 	}
 	return strconv.Itoa(s.answer.Status())
@@ -73,9 +73,9 @@
 func exchange(ctx context.Context, conn *upstream.Conn, r upstream.Request) sent {
 	answer, failure := conn.Exchange(ctx, r)
 	if failure != nil {
-		return sent{outcome: outcome.OfFailure(failure), failure: failure}
+		return sent{outcome: outcome.FromFailure(failure), failure: failure}
 	}
-	ended := outcome.OfAnswer(answer.Status(), answer.NotRun())
+	ended := outcome.FromAnswer(answer.Status(), answer.NotRun())
 	return sent{outcome: ended, answer: answer, failure: ended.Failure()}
 }
 
--- a/internal/gateway/forward/sending.go
+++ b/internal/gateway/forward/sending.go
@@ -30,7 +30,7 @@
 	}
 	result.answer.OnEnd(func(failure *verdict.Error) {
 		if failure != nil {
-			result.outcome, result.failure = outcome.OfFailure(failure), failure
+			result.outcome, result.failure = outcome.FromFailure(failure), failure
 		}
 		s.ended(result, result.answer.HeldBack())
 	})
--- a/internal/gateway/forward/service.go
+++ b/internal/gateway/forward/service.go
@@ -79,7 +79,7 @@
 	estimate   *estimate.Service
 	ejections  *ejection.Tracker
 	contention *placement.Contention
-	turns      *warmup.Turns
+	turns      *warmup.Limiter
 	active     map[catalog.Life]int // sends under way
 	evidence   *evidence            // guarded by its own lock
 	reach      reach
@@ -240,10 +240,10 @@
 }
 
 // room is what is known of the service when one of its requests is refused.
-func (s *service) room(now time.Time) refusal.Room {
+func (s *service) room(now time.Time) refusal.ServiceLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return refusal.Room{Contended: s.contention.Contended(now), ShedShare: s.estimate.ShedShare()}
+	return refusal.ServiceLoad{Contended: s.contention.Contended(now), ShedShare: s.estimate.ShedShare()}
 }
 
 func (s *service) yields(now time.Time, priority int) bool {
--- a/internal/gateway/forward/stream.go
+++ b/internal/gateway/forward/stream.go
@@ -14,7 +14,7 @@
 // streams says whether a long answer may be passed on before it is whole: only one
 // that ends the request, since a send that failed may be repeated.
 func streams(status int, notRun bool) bool {
-	return outcome.OfAnswer(status, notRun) == outcome.Served
+	return outcome.FromAnswer(status, notRun) == outcome.Served
 }
 
 // stream gives the client a long answer as it comes from the target. It ends the
--- a/internal/gateway/forward/warmup.go
+++ b/internal/gateway/forward/warmup.go
@@ -61,7 +61,7 @@
 func (s *service) hasTurn(now time.Time, share warmup.Share) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.turns.Has(now, share)
+	return s.turns.HasToken(now, share)
 }
 
 func (s *service) takeTurn(now time.Time, share warmup.Share) bool {
--- a/internal/gateway/signals/signals.go
+++ b/internal/gateway/signals/signals.go
@@ -178,8 +178,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
-	begins = r.tracker.Ask(now, life, s.BackOff)
-	isNew = r.board.Note(now, signal.Update{Life: life, From: r.options.Self, BackOff: s.BackOff, Leaving: s.Leaving})
+	begins = r.tracker.Extend(now, life, s.BackOff)
+	isNew = r.board.Record(now, signal.Update{Life: life, From: r.options.Self, BackOff: s.BackOff, Leaving: s.Leaving})
 	r.count()
 	return begins, isNew
 }
@@ -194,7 +194,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.tracker.Left(r.options.Clock(), life)
+	return r.tracker.Remaining(r.options.Clock(), life)
 }
 
 // Avoided are the targets that asked several gateways for back-off, so that they are sent something only
@@ -217,7 +217,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := r.tracker.All(r.options.Clock())
+	all := r.tracker.Active(r.options.Clock())
 	r.count()
 	return all
 }
