--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -9,8 +9,8 @@
 // # Usage
 //
 //	tracker := backoff.New[catalog.Life]()
-//	tracker.Ask(now, target.Life(), 3*time.Second)
-//	if left := tracker.Left(now, target.Life()); left > 0 {
+//	tracker.Extend(now, target.Life(), 3*time.Second)
+//	if left := tracker.Remaining(now, target.Life()); left > 0 {
 //		// send to another target
 //	}
 package backoff
@@ -25,7 +25,7 @@
 // and no second one is sent before d has passed.
 func effectiveDuration(d time.Duration) time.Duration { return min(d, max(maxFullDuration, d/2)) }
 
-// Window is the back-off of one target; the zero value is none.
+// Window is the back-off of one target; the zero value means none.
 type Window struct{ until time.Time }
 
 // Extend applies a target's request for back-off, and reports whether it starts a new
--- a/core/backoff/fleet_test.go
+++ b/core/backoff/fleet_test.go
@@ -48,7 +48,7 @@
 	// jitter is the greatest share of a back-off by which a gateway waits longer.
 	jitter float64
 	// shares says that gateways share back-offs at once. fallsBack says that a gateway
-	// that learnt of one from a peer still sends to the target if there are no others.
+	// that received one from a peer still sends to the target if there are no others.
 	// unlimited says that shared back-offs count even if most targets ask.
 	shares, fallsBack, unlimited bool
 }
--- a/core/gateway/budget/budget.go
+++ b/core/gateway/budget/budget.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	b := budget.New(10*time.Second, 0.2, 1) // a fifth of the requests, and one more
-//	b.Request(now)
+//	b.RecordRequest(now)
 //	if b.Spend(now, 1) {
 //		// one second send
 //	}
--- a/core/gateway/ejection/ejection.go
+++ b/core/gateway/ejection/ejection.go
@@ -13,7 +13,7 @@
 // # Usage
 //
 //	tracker := ejection.New()
-//	tracker.Ended(now, target.Life(), outcome.Broken)
+//	tracker.RecordOutcome(now, target.Life(), outcome.Broken)
 //	if tracker.Ejected(now, target.Life()) {
 //		// probe others first
 //	}
@@ -74,7 +74,7 @@
 		t.eject(life, now.Add(misdirectedTime))
 	case outcome.Served:
 		t.resetBackOff(life)
-	case outcome.Abandoned: // says nothing about the target
+	case outcome.Abandoned: // tells nothing about the target
 	}
 }
 
--- a/core/gateway/estimate/estimate.go
+++ b/core/gateway/estimate/estimate.go
@@ -16,7 +16,7 @@
 //	service := estimate.New()
 //	usual := service.Usual(route)
 //	prediction := service.Predict(route, report)
-//	service.Answered(route, estimate.Answer{Took: took, Bytes: n, Report: report})
+//	service.RecordAnswer(route, estimate.Answer{Took: took, Bytes: n, Report: report})
 package estimate
 
 import (
--- a/core/gateway/fingerprint/fingerprint.go
+++ b/core/gateway/fingerprint/fingerprint.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	print := fingerprint.Of(fingerprint.Request{Method: "GET", Host: "a", URI: "/x", Address: "10.0.0.1"})
+//	print := fingerprint.Compute(fingerprint.Request{Method: "GET", Host: "a", URI: "/x", Address: "10.0.0.1"})
 //	if print == other {
 //		// the same request of the same caller
 //	}
--- a/core/gateway/freshness/freshness.go
+++ b/core/gateway/freshness/freshness.go
@@ -15,7 +15,7 @@
 //
 //	tracker := freshness.New(timing, peers.Before)
 //	tracker.Config().Begin(now)
-//	tracker.Answered(tracker.Config(), now, "gateway-1")
+//	tracker.RecordAnswer(tracker.Config(), now, "gateway-1")
 //	if tracker.Age(now) > limit {
 //		// the known state has not been confirmed for too long
 //	}
--- a/core/gateway/placement/placement.go
+++ b/core/gateway/placement/placement.go
@@ -1,4 +1,4 @@
-// Package placement decides where a request goes: which targets are probed for
+// Package placement decides where a request is sent: which targets are probed for
 // their load and in what order, which of those that answered is best, and
 // whether the request is sent there, waits for a better one, or is refused.
 //
@@ -28,9 +28,9 @@
 //
 // # Usage
 //
-//	deadlines := placement.NewDeadlines(began, route.Objective, usual)
+//	deadlines := placement.NewDeadlines(received, route.Objective, usual)
 //	order := placement.NewOrder(targets, filter, rand.Shuffle)
-//	for _, wave := range order.Waves(effort) {
+//	for _, wave := range order.Waves(scope) {
 //		// probe the wave, keep the Better candidate, stop at an Idle one
 //	}
 //	decision := placement.Decide(placement.State{Now: now, Best: best, ...})
--- a/core/gateway/refusal/refusal.go
+++ b/core/gateway/refusal/refusal.go
@@ -11,7 +11,7 @@
 //	failure := refusal.Final(refusal.Ending{Failure: failure, Last: last, MayHaveRun: true})
 //	pause := refusal.RetryAfter(left, rand.Float64())
 //	if failure.Reason() == verdict.ReasonShed && load.IsOpen() {
-//		pause = refusal.AtOnce(rand.Float64())
+//		pause = refusal.ImmediateRetryAfter(rand.Float64())
 //	}
 package refusal
 
--- a/core/gateway/retry/retry.go
+++ b/core/gateway/retry/retry.go
@@ -11,10 +11,10 @@
 //
 // # Usage
 //
-//	if decision := retry.Decide(state); decision == retry.Again {
+//	if decision := retry.Decide(state); decision == retry.SendAgain {
 //		// send again if the budget allows it
 //	}
-//	if delay, ok := retry.HedgeDelay(first); ok {
+//	if delay, ok := retry.HedgeDelay(firstSend); ok {
 //		// send a hedge after delay if the first send is still in progress
 //	}
 package retry
