--- a/core/box/health/health.go
+++ b/core/box/health/health.go
@@ -122,10 +122,10 @@
 }
 
 // BackOff records that the target asks not to be sent requests for d; 0 for none.
-func (t *Tracker) BackOff(now time.Time, d time.Duration) { t.backOff.Ask(now, d) }
+func (t *Tracker) BackOff(now time.Time, d time.Duration) { t.backOff.Extend(now, d) }
 
 // BacksOff reports whether the target currently asks not to be sent requests.
-func (t *Tracker) BacksOff(now time.Time) bool { return t.backOff.Left(now) > 0 }
+func (t *Tracker) BacksOff(now time.Time) bool { return t.backOff.Remaining(now) > 0 }
 
 // Ejected reports whether the target is currently ejected.
 func (t *Tracker) Ejected(now time.Time) bool { return now.Before(t.ejectedUntil) }
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -17,7 +17,7 @@
 	wait := f.untilReading(now)
 	f.setReads(wait <= 0)
 	if wait > 0 {
-		w.state.Rest()
+		w.state.Stop()
 		return wait
 	}
 	return w.until(now)
@@ -52,7 +52,7 @@
 		Seed: slices.Contains(f.options.Seeds(), self.Peer), HasNoPeers: f.view.HasNoUsablePeer(now), Uptime: now.Sub(f.started),
 		PeersKnownFor: f.inCompany(now),
 		HasState:      f.knows(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.offered), Age: f.fresh.Age(now),
-		IsReading: f.reads && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
+		IsReading: f.reads && !f.fresh.Failing(), OutrankedAge: f.fresh.PrecedingReaderAge(now, self.ID),
 		PendingTriesAge: f.tries.PendingAge(now, self.ID), TriesAge: f.tries.Age(now, self.ID),
 	}
 }
--- a/internal/gateway/signals/signals.go
+++ b/internal/gateway/signals/signals.go
@@ -184,8 +184,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
-	started = r.backOffs.Ask(now, life, s.BackOff)
-	publish = r.shared.Note(now, signal.Update{Life: life, From: r.options.Self, BackOff: s.BackOff, Leaving: s.Leaving})
+	started = r.backOffs.Extend(now, life, s.BackOff)
+	publish = r.shared.Record(now, signal.Update{Life: life, From: r.options.Self, BackOff: s.BackOff, Leaving: s.Leaving})
 	r.updateEntries()
 	return started, publish
 }
@@ -201,7 +201,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.backOffs.Left(r.options.Clock(), life)
+	return r.backOffs.Remaining(r.options.Clock(), life)
 }
 
 // Avoided returns the targets that asked several gateways for back-off, and which are used only
@@ -224,7 +224,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	backOffs := r.backOffs.All(r.options.Clock())
+	backOffs := r.backOffs.Active(r.options.Clock())
 	r.updateEntries()
 	return backOffs
 }
