--- a/gateway/run.go
+++ b/gateway/run.go
@@ -54,7 +54,7 @@
 
 // addDuties adds what works in the background until the group ends.
 func (g *Gateway) addDuties(ctx context.Context, group *run.Group, end func()) {
-	duties := append(g.discovery.Duties(), pause.Every(retainEvery, g.retain))
+	duties := append(g.discovery.Tasks(), pause.Every(retainEvery, g.retain))
 	duties = append(duties, g.quota.Duties()...)
 	duties = append(duties, g.signals.Duties()...)
 	if g.delivery != nil {
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -379,7 +379,7 @@
 			return routing.New(routing.Config{Version: version}), err
 		},
 	})
-	for _, duty := range g.Duties() {
+	for _, duty := range g.Tasks() {
 		go func() { _ = duty(ctx) }()
 	}
 	go func() { _ = g.Serve(g) }()
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -122,7 +122,7 @@
 	g.limits.OnUpdate(g.Wake)
 	g.signals.OnUpdate(g.Wake)
 	g.signals.OnLeaving(g.Drain)
-	for _, duty := range append(g.Duties(), g.signals.Duties()...) {
+	for _, duty := range append(g.Tasks(), g.signals.Duties()...) {
 		go func() { _ = duty(ctx) }()
 	}
 	var more []discovery.Service
