--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -167,7 +167,7 @@
 		Self:     self,
 		Homes:    func(n int) []member.Box { return g.discovery.First(n) },
 		Ranked:   func(n int) []peers.Sighting { return g.discovery.Ranked(n) },
-		Sighted:  func(s []peers.Sighting) { g.discovery.Sighted(s) },
+		Sighted:  func(s []peers.Sighting) { g.discovery.MergeSightings(s) },
 		Gateways: func() int { return g.discovery.Gateways() }, HasLimits: g.hasLimits,
 		Tolerance: tolerance, Clock: g.options.Clock, Metrics: g.metrics, Log: g.log,
 	}
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -125,8 +125,8 @@
 	return f.view.Ranked(f.options.Clock(), n)
 }
 
-// Sighted takes in whom another gateway has learnt of.
-func (f *Follower) Sighted(sightings []peers.Sighting) {
+// MergeSightings takes in whom another gateway has learnt of.
+func (f *Follower) MergeSightings(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.Sighted(f.options.Clock(), sightings)
