--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -150,7 +150,7 @@
 	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Room: g.answers, Opened: g.metrics.Opened, Log: g.log})
 	g.forward = forward.New(forward.Options{
 		Names: o.Wire.Headers, Places: g.places.Load, Snapshot: g.discovery.Snapshot, Current: g.discovery.Current,
-		Gateways: g.discovery.Gateways, Fatal: g.fatal, Quota: g.quota, TrustsKeys: g.trustsKeys,
+		Gateways: g.discovery.GatewayCount, Fatal: g.fatal, Quota: g.quota, TrustsKeys: g.trustsKeys,
 		Signals: g.signals, Ready: g.discovery.Ready(), Pool: g.pool, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
 		Retry: forward.Retry{Window: seconds(s.RetryWindow), Ratio: s.RetryRatio},
 	})
@@ -165,10 +165,10 @@
 func (g *Gateway) quotaOptions(self member.Box, tolerance float64) quota.Options {
 	return quota.Options{
 		Self:     self,
-		Homes:    func(n int) []member.Box { return g.discovery.First(n) },
-		Ranked:   func(n int) []peers.Sighting { return g.discovery.Ranked(n) },
+		Homes:    func(n int) []member.Box { return g.discovery.TopRanked(n) },
+		Ranked:   func(n int) []peers.Sighting { return g.discovery.TopRankedSightings(n) },
 		Sighted:  func(s []peers.Sighting) { g.discovery.MergeSightings(s) },
-		Gateways: func() int { return g.discovery.Gateways() }, HasLimits: g.hasLimits,
+		Gateways: func() int { return g.discovery.GatewayCount() }, HasLimits: g.hasLimits,
 		Tolerance: tolerance, Clock: g.options.Clock, Metrics: g.metrics, Log: g.log,
 	}
 }
@@ -218,7 +218,7 @@
 // state is what the metrics show of this moment.
 func (g *Gateway) state() metrics.State {
 	state := metrics.State{
-		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHalls(),
+		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHallCount(),
 		AnswerBytes: g.answers.Held(), Quarantined: g.fatal.Quarantined(), LimitedTargets: g.quota.LimitedTargets(),
 		FarServices: g.forward.FarServices(), Trips: g.forward.Trips(),
 		BackingOff: len(g.signals.All()), Leaving: g.discovery.Snapshot().Leaving(),
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -98,7 +98,7 @@
 func (f *bigFleet) untilEvacuated(gateways []*gateway, halls int) time.Duration {
 	began := time.Now()
 	for time.Since(began) < 2*patience {
-		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.EvacuatedHalls() != halls }) {
+		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.EvacuatedHallCount() != halls }) {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -329,7 +329,7 @@
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
 	g.Consistently(gw.Current, timing.LastAfter).Should(BeFalse(), "nobody has told of evacuations")
 	a.silent.Store(false)
-	g.Eventually(gw.EvacuatedHalls, eventual).Should(Equal(1), "so it reads them itself")
+	g.Eventually(gw.EvacuatedHallCount, eventual).Should(Equal(1), "so it reads them itself")
 	g.Expect(gw.targets()).To(BeEmpty())
 }
 
@@ -348,7 +348,7 @@
 		time.Sleep(3 * time.Second)
 		for _, gw := range fleet.gateways {
 			g.Expect(gw.targets()).To(HaveLen(301))
-			g.Expect(gw.EvacuatedHalls()).To(Equal(1))
+			g.Expect(gw.EvacuatedHallCount()).To(Equal(1))
 			g.Expect(gw.Current()).To(BeTrue())
 		}
 	})
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -104,22 +104,22 @@
 	f.options.Log.Info("evacuations changed", "halls", halls, "revision", f.catalog.Position().Evacuations, "from", from)
 }
 
-// EvacuatedHalls is how many halls are believed to be evacuated.
-func (f *Follower) EvacuatedHalls() int {
+// EvacuatedHallCount is how many halls are believed to be evacuated.
+func (f *Follower) EvacuatedHallCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.catalog.Evacuations())
 }
 
-// First lists up to n gateways that rank first, this one among them if it does.
-func (f *Follower) First(n int) []member.Box {
+// TopRanked lists up to n gateways that rank first, this one among them if it does.
+func (f *Follower) TopRanked(n int) []member.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.First(f.options.Clock(), n)
 }
 
-// Ranked is First as sightings that may be passed on to other gateways.
-func (f *Follower) Ranked(n int) []peers.Sighting {
+// TopRankedSightings is First as sightings that may be passed on to other gateways.
+func (f *Follower) TopRankedSightings(n int) []peers.Sighting {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Ranked(f.options.Clock(), n)
@@ -132,8 +132,8 @@
 	f.view.Sighted(f.options.Clock(), sightings)
 }
 
-// Gateways is about how many gateways there are, this one among them.
-func (f *Follower) Gateways() int {
+// GatewayCount is about how many gateways there are, this one among them.
+func (f *Follower) GatewayCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Size(f.options.Clock())
@@ -142,15 +142,15 @@
 // logTargets writes which targets take requests now that did not before, and
 // which no longer do.
 func (f *Follower) logTargets(from string, before, now map[string][]catalog.Target) {
-	in, out := lacking(before, now), lacking(now, before)
+	in, out := missingIDs(before, now), missingIDs(now, before)
 	if len(in)+len(out) == 0 {
 		return
 	}
 	f.options.Log.Info("targets changed", "in", in, "out", out, "revision", f.catalog.Position().Targets, "from", from)
 }
 
-// lacking lists the ids of the targets in all that some lacks, or has in another life.
-func lacking(some, all map[string][]catalog.Target) []string {
+// missingIDs lists the ids of the targets in all that some lacks, or has in another life.
+func missingIDs(some, all map[string][]catalog.Target) []string {
 	var ids []string
 	for service, targets := range all {
 		held := make(map[catalog.Life]bool, len(some[service]))
