--- a/internal/gateway/delivery/delivery.go
+++ b/internal/gateway/delivery/delivery.go
@@ -85,7 +85,7 @@
 	// are under way; what was counted for others is dropped.
 	Reports func(rollouts []catalog.Rollout) []rollout.Report
 	// Record is discovery.Source.RecordRollout.
-	Record func(ctx context.Context, r catalog.Rollout) (discovery.Record, error)
+	Record func(ctx context.Context, r catalog.Rollout) (discovery.RecordResult, error)
 	Clock  func() time.Time
 	// Metrics may be nil.
 	Metrics *metrics.Metrics
--- a/internal/gateway/delivery/log.go
+++ b/internal/gateway/delivery/log.go
@@ -11,13 +11,13 @@
 }
 
 // logWrite writes how a write ended and, where it was done, what it was decided by.
-func (d *Delivery) logWrite(w write, record discovery.Record, err error) {
+func (d *Delivery) logWrite(w write, record discovery.RecordResult, err error) {
 	r := w.rollout
 	common := []any{"service", r.Service, "version", r.Version, "state", r.State.String(), "permille", r.Permille, "age_s", r.Elapsed.Seconds()}
 	switch {
-	case record.End != discovery.RecordDone:
+	case record.Outcome != discovery.RecordDone:
 		// It may still be done: what it was decided by must not be missing then.
-		end := append(common, "end", endName(record.End), "revision", r.Revision, "error", errorText(err))
+		end := append(common, "end", endName(record.Outcome), "revision", r.Revision, "error", errorText(err))
 		d.options.Log.Info("rollout not recorded", append(end, evidence(w.decision)...)...)
 	case w.isTakeover():
 		d.options.Log.Info("rollout taken over", append(common, "from", w.before.Decider)...)
--- a/internal/gateway/delivery/record.go
+++ b/internal/gateway/delivery/record.go
@@ -90,13 +90,13 @@
 	now := d.options.Clock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.options.Metrics.RolloutWrite(endName(record.End))
+	d.options.Metrics.RolloutWrite(endName(record.Outcome))
 	d.logWrite(w, record, err)
 	c, ok := d.courses[w.rollout.Service]
 	if !ok || c.order.Version != w.rollout.Version {
 		return // it is another order by now
 	}
-	if record.End == discovery.RecordDone && w.isTakeover() {
+	if record.Outcome == discovery.RecordDone && w.isTakeover() {
 		c.takenOver = now
 		c.takeovers++
 	}
@@ -108,7 +108,7 @@
 		return // what came of it was seen already
 	}
 	pause := settleWithin
-	if record.End != discovery.RecordDone {
+	if record.Outcome != discovery.RecordDone {
 		pause = c.writes.retry()
 	}
 	c.writes.end(now, w.rollout.State, pause)
@@ -118,7 +118,7 @@
 func (w write) isTakeover() bool { return w.decision.Verb == rollout.Wait }
 
 // endName names how a write ended, as log lines and metrics do.
-func endName(end discovery.RecordEnd) string {
+func endName(end discovery.RecordOutcome) string {
 	switch end {
 	case discovery.RecordDone:
 		return "done"
--- a/internal/gateway/delivery/world_test.go
+++ b/internal/gateway/delivery/world_test.go
@@ -379,20 +379,20 @@
 }
 
 // write is the store's part of a write.
-func (w *world) write(r catalog.Rollout) (discovery.Record, error) {
+func (w *world) write(r catalog.Rollout) (discovery.RecordResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now, ok := w.objects[r.Service]
 	if !ok || now.Revision != r.Revision {
-		return discovery.Record{End: discovery.RecordRefused, Rollout: &now}, errors.New("another revision")
+		return discovery.RecordResult{Outcome: discovery.RecordRefused, Rollout: &now}, errors.New("another revision")
 	}
 	r = w.putLocked(r)
 	w.done = append(w.done, r)
-	return discovery.Record{End: discovery.RecordDone, Rollout: &r}, nil
+	return discovery.RecordResult{Outcome: discovery.RecordDone, Rollout: &r}, nil
 }
 
 // record is a gateway's write.
-func (g *gateway) record(ctx context.Context, r catalog.Rollout) (discovery.Record, error) {
+func (g *gateway) record(ctx context.Context, r catalog.Rollout) (discovery.RecordResult, error) {
 	w := g.world
 	g.pass()
 	w.calls.Add(1)
@@ -402,26 +402,26 @@
 	g.mu.Unlock()
 	if deaf {
 		time.Sleep(time.Second)
-		return discovery.Record{}, errAway
+		return discovery.RecordResult{}, errAway
 	}
 	w.mu.Lock()
 	fate, answer := w.fate, w.answer
 	w.mu.Unlock()
 	if fate != nil {
 		if err := fate(g, r); errors.Is(err, errTurnedAway) {
-			return discovery.Record{End: discovery.RecordRefused}, err
+			return discovery.RecordResult{Outcome: discovery.RecordRefused}, err
 		} else if err != nil {
-			return discovery.Record{}, err
+			return discovery.RecordResult{}, err
 		}
 	}
 	g.pass()
 	if ctx.Err() != nil {
-		return discovery.Record{}, ctx.Err() // killed before it was sent
+		return discovery.RecordResult{}, ctx.Err() // killed before it was sent
 	}
 	record, err := w.write(r)
 	g.pass()
 	if answer != nil && answer(g) != nil {
-		return discovery.Record{}, errAway
+		return discovery.RecordResult{}, errAway
 	}
 	return record, err
 }
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -43,9 +43,9 @@
 }
 
 // recordRollout is a write on condition of the revision.
-func (s *fakeStore) recordRollout(r catalog.Rollout) (discovery.Record, error) {
+func (s *fakeStore) recordRollout(r catalog.Rollout) (discovery.RecordResult, error) {
 	s.rolloutCalls.Add(1)
-	record, err := discovery.Record{End: discovery.RecordRefused}, errRevision
+	record, err := discovery.RecordResult{Outcome: discovery.RecordRefused}, errRevision
 	s.change(func() {
 		now, ok := s.rollouts[r.Service]
 		if !ok || now.Revision != r.Revision {
@@ -53,7 +53,7 @@
 			return
 		}
 		now = s.putLocked(r)
-		record, err = discovery.Record{End: discovery.RecordDone, Rollout: &now}, nil
+		record, err = discovery.RecordResult{Outcome: discovery.RecordDone, Rollout: &now}, nil
 	})
 	return record, err
 }
@@ -98,9 +98,9 @@
 		}
 		return changes, nil
 	}
-	source.RecordRollout = func(ctx context.Context, r catalog.Rollout) (discovery.Record, error) {
+	source.RecordRollout = func(ctx context.Context, r catalog.Rollout) (discovery.RecordResult, error) {
 		if err := a.reach(ctx); err != nil {
-			return discovery.Record{}, err
+			return discovery.RecordResult{}, err
 		}
 		return a.store.recordRollout(r)
 	}
--- a/internal/gateway/discovery/source.go
+++ b/internal/gateway/discovery/source.go
@@ -40,23 +40,23 @@
 	Body     []byte
 }
 
-// RecordEnd is how the recording of a rollout's progress ended.
-type RecordEnd uint8
+// RecordOutcome is how the recording of a rollout's progress ended.
+type RecordOutcome uint8
 
 // Ends of a recording.
 const (
 	// RecordUnknown says that there was no answer: it may have been done, or be done
 	// seconds later if the object has not changed by then.
-	RecordUnknown RecordEnd = iota
+	RecordUnknown RecordOutcome = iota
 	// RecordDone says that it was done, and RecordRefused that it was not and never
 	// will be.
 	RecordDone
 	RecordRefused
 )
 
-// Record is what came of recording a rollout's progress.
-type Record struct {
-	End RecordEnd
+// RecordResult is what came of recording a rollout's progress.
+type RecordResult struct {
+	Outcome RecordOutcome
 	// Rollout is the rollout as it is now, where the store reported it; nil where it did not.
 	Rollout *catalog.Rollout
 }
@@ -88,7 +88,7 @@
 	// RecordRollout records the progress of a rollout (its State and what follows it) on
 	// condition that the object's revision is still that of the rollout. The error says
 	// why an end is not RecordDone.
-	RecordRollout func(ctx context.Context, r catalog.Rollout) (Record, error)
+	RecordRollout func(ctx context.Context, r catalog.Rollout) (RecordResult, error)
 	// Saved, WatchSaved and Save are nil where nothing is saved. Save writes the object on
 	// condition of its revision and returns it as it is now, where the store reported it.
 	Saved      func(ctx context.Context) (Newest[SavedObject], error)
