--- a/internal/gateway/delivery/decide.go
+++ b/internal/gateway/delivery/decide.go
@@ -51,7 +51,7 @@
 }
 
 // next works out what is to be written of a rollout now, and notes that it is under way.
-func (d *Delivery) next(service string, standing discovery.Standing, peers []string) (write, bool) {
+func (d *Delivery) next(service string, standing discovery.VersionTargets, peers []string) (write, bool) {
 	now := d.options.Clock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,7 +103,7 @@
 }
 
 // state is what a decision goes by; the lock is held.
-func (d *Delivery) state(now time.Time, c *course, standing discovery.Standing, peers []string) rollout.State {
+func (d *Delivery) state(now time.Time, c *course, standing discovery.VersionTargets, peers []string) rollout.State {
 	inTouch := c.inTouch(now, peers)
 	return rollout.State{
 		Order: c.order, Limits: d.options.Limits,
--- a/internal/gateway/delivery/delivery.go
+++ b/internal/gateway/delivery/delivery.go
@@ -78,7 +78,7 @@
 	// Peers lists the ids of the gateways that are known to be there, this one among them.
 	Peers func() []string
 	// Standing is how the targets of a service stand to a rollout.
-	Standing func(r catalog.Rollout) discovery.Standing
+	Standing func(r catalog.Rollout) discovery.VersionTargets
 	// Decide says what is to be done of a rollout; nil means rollout.Decide.
 	Decide func(s rollout.State) rollout.Decision
 	// Reports gives this process's own counts for each of the rollouts, which are all that
--- a/internal/gateway/delivery/world_test.go
+++ b/internal/gateway/delivery/world_test.go
@@ -145,8 +145,8 @@
 	return g
 }
 
-func standing(catalog.Rollout) discovery.Standing {
-	return discovery.Standing{OnTrial: true, Baseline: 3, Canary: 3, Warm: 3}
+func standing(catalog.Rollout) discovery.VersionTargets {
+	return discovery.VersionTargets{OnTrial: true, Baseline: 3, Canary: 3, Warm: 3}
 }
 
 // decideByCounts goes from stage to stage each second, once all report the stage, and
--- a/internal/gateway/discovery/rollout.go
+++ b/internal/gateway/discovery/rollout.go
@@ -2,8 +2,8 @@
 
 import "github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 
-// Standing is how the targets of a service stand to a version that is ordered.
-type Standing struct {
+// VersionTargets is how the targets of a service stand to a version that is ordered.
+type VersionTargets struct {
 	// OnTrial says that the version is not the one in service.
 	OnTrial bool
 	// Baseline and Canary are how many targets of the versions may take requests, and
@@ -13,11 +13,11 @@
 	Warm     int
 }
 
-// Standing is how the targets that are believed stand to a rollout.
-func (f *Follower) Standing(r catalog.Rollout) Standing {
+// VersionTargets is how the targets that are believed stand to a rollout.
+func (f *Follower) VersionTargets(r catalog.Rollout) VersionTargets {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := Standing{OnTrial: f.versions.OnTrial(r.Service, r.Version)}
+	s := VersionTargets{OnTrial: f.versions.OnTrial(r.Service, r.Version)}
 	for _, t := range f.catalog.Targets() {
 		switch {
 		case t.Service != r.Service || t.Leaving || f.catalog.IsEvacuated(t.Hall):
