--- a/internal/gateway/discovery/announce.go
+++ b/internal/gateway/discovery/announce.go
@@ -23,7 +23,7 @@
 		return position
 	}
 	now := f.options.Clock()
-	if now.Sub(a.at) < w.Every {
+	if now.Sub(a.at) < w.MinInterval {
 		f.announceLater()
 		return a.position
 	}
@@ -43,7 +43,7 @@
 func (f *Follower) announce(ctx context.Context) error {
 	var every time.Duration
 	for _, w := range f.options.Updates {
-		every = max(every, w.Every)
+		every = max(every, w.MinInterval)
 	}
 	for {
 		select {
--- a/internal/gateway/discovery/changelog.go
+++ b/internal/gateway/discovery/changelog.go
@@ -26,8 +26,8 @@
 }
 
 // Updates are the changes as gateways exchange them.
-func (l ChangeLog[T]) Updates() Updates {
-	return Updates{Position: l.position, Since: l.since, Merge: l.merge, Every: l.Every}
+func (l ChangeLog[T]) Updates() UpdateKind {
+	return UpdateKind{Position: l.position, Since: l.since, Merge: l.merge, MinInterval: l.Every}
 }
 
 func (l ChangeLog[T]) position() string { return formatPosition(l.Position()) }
--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -129,7 +129,7 @@
 	LimitsFor     func() time.Duration
 	ObserveLimits func(left time.Duration)
 	// Updates are what gateways exchange besides, in the order in which versions began to.
-	Updates []Updates
+	Updates []UpdateKind
 	// Metrics may be nil.
 	Metrics *metrics.Metrics
 	Log     *slog.Logger
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -107,7 +107,7 @@
 	g.Follower = discovery.New(discovery.Options{
 		Self: self, FirstStart: first, Seeds: func() []string { return []string{f.address(0), f.address(1), f.address(2)} },
 		Source: f.source(g.access), Timing: fleetTiming, Log: slog.New(slog.NewTextHandler(g.log, nil)),
-		Dial: f.fabric.dialFrom(address), Places: func() *locality.Map { return places }, Fatal: g.fatal, Updates: []discovery.Updates{g.limits.Updates(), g.signals.Updates()},
+		Dial: f.fabric.dialFrom(address), Places: func() *locality.Map { return places }, Fatal: g.fatal, Updates: []discovery.UpdateKind{g.limits.Updates(), g.signals.Updates()},
 		Clock: func() time.Time { return time.Now().Add(time.Duration(g.slept.Load())) },
 		Draw: func() float64 {
 			mu.Lock()
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -134,7 +134,7 @@
 	now := f.options.Clock()
 	args := f.standing(now)
 	args.Wait, args.Digest = wait, !f.asksInFull(n.peer)
-	args.AsksFatal, args.FatalAt = true, f.asksAll(n.receivedUpdates).String()
+	args.AsksFatal, args.FatalAt = true, f.withAllKinds(n.receivedUpdates).String()
 	if args.Digest && args.At.Lacks(n.at) {
 		args.At = n.at // what is missing here is asked for already
 	}
@@ -166,7 +166,7 @@
 		args.News, args.Base = f.newsFor(n), n.at
 		n.at, n.confirmed = args.At, now.Add(-min(args.Age, longAgo))
 		n.sentTries, n.sentLeaving = f.tries.Version(), args.From.Leaving
-		args.Fatal, n.sentUpdates = f.updatesSince(f.asksAll(n.sentUpdates))
+		args.Fatal, n.sentUpdates = f.updatesSince(f.withAllKinds(n.sentUpdates))
 	}
 	changed = f.changed
 	f.mu.Unlock()
@@ -182,7 +182,7 @@
 	leaves := f.view.Self().Leaving && !n.sentLeaving
 	further := n.at.Lacks(f.catalog.Position())
 	tries := f.tries.Version() != n.sentTries
-	return leaves || further || tries || f.lacksUpdates(f.asksAll(n.sentUpdates)) || f.fresh.Confirms(now, now.Sub(n.confirmed))
+	return leaves || further || tries || f.lacksUpdates(f.withAllKinds(n.sentUpdates)) || f.fresh.Confirms(now, now.Sub(n.confirmed))
 }
 
 // noteExchanged notes how far a neighbour is, and logs who it is if it is new. One that
--- a/internal/gateway/discovery/updates.go
+++ b/internal/gateway/discovery/updates.go
@@ -11,19 +11,19 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quarantine"
 )
 
-// Updates are a kind of change that gateways exchange beside the catalog, as bytes, each
+// UpdateKind are a kind of change that gateways exchange beside the catalog, as bytes, each
 // change once to each neighbour. Its functions may be called while the follower is locked and
 // must not call it.
-type Updates struct {
+type UpdateKind struct {
 	// Position names how far this gateway has come (formatPosition).
 	Position func() string
 	// Since is what changed since a position, and how far that comes.
 	Since func(at string) (body []byte, to string)
 	// Merge takes in what another gateway reported, and says whether any of it is news here.
 	Merge func(body []byte, from string) (isNew bool)
-	// Every is the least time between two changes that are passed on to other gateways, of
+	// MinInterval is the least time between two changes that are passed on to other gateways, of
 	// which the first goes at once; 0 to pass on each.
-	Every time.Duration
+	MinInterval time.Duration
 }
 
 // What gateways exchange beside the catalog goes as bytes and texts, one of each for all
@@ -62,8 +62,8 @@
 	return positions{fatal: parsePosition(texts[0]), updates: texts[1:]}
 }
 
-// asksAll are the positions of a gateway that is sent all kinds.
-func (f *Follower) asksAll(at positions) positions {
+// withAllKinds are the positions of a gateway that is sent all kinds.
+func (f *Follower) withAllKinds(at positions) positions {
 	updates := make([]string, len(f.options.Updates))
 	copy(updates, at.updates)
 	return positions{fatal: at.fatal, updates: updates}
@@ -107,7 +107,7 @@
 }
 
 // kindsFor are the kinds of updates that a gateway is sent.
-func (f *Follower) kindsFor(at positions) []Updates {
+func (f *Follower) kindsFor(at positions) []UpdateKind {
 	return f.options.Updates[:min(len(f.options.Updates), len(at.updates))]
 }
 
--- a/internal/gateway/quota/updates.go
+++ b/internal/gateway/quota/updates.go
@@ -14,7 +14,7 @@
 
 // Updates are what gateways exchange of the limits that targets name: each knows of
 // one before it sends the target anything, and that it is lifted though it had no credit.
-func (r *Register) Updates() discovery.Updates {
+func (r *Register) Updates() discovery.UpdateKind {
 	return discovery.ChangeLog[quota.Update]{
 		Name: "limits of targets", Position: r.position, Since: r.updatesSince, Merge: r.mergeUpdates, Log: r.options.Log,
 	}.Updates()
--- a/internal/gateway/signals/updates.go
+++ b/internal/gateway/signals/updates.go
@@ -13,7 +13,7 @@
 const shareEvery = 250 * time.Millisecond
 
 // Updates are the updates that gateways exchange of the signals of targets.
-func (r *Register) Updates() discovery.Updates {
+func (r *Register) Updates() discovery.UpdateKind {
 	return discovery.ChangeLog[signal.Update]{
 		Name: "signals of targets", Position: r.position, Since: r.since, Merge: r.merge, Every: shareEvery, Log: r.options.Log,
 	}.Updates()
