--- a/internal/gateway/discovery/changelog.go
+++ b/internal/gateway/discovery/changelog.go
@@ -20,14 +20,14 @@
 	Since func(at changes.Position) (updates []T, to changes.Position)
 	// Merge takes in changes of another gateway, and says whether any is new here.
 	Merge func(updates []T) (isNew bool)
-	// Every is that of Updates.
-	Every time.Duration
-	Log   *slog.Logger
+	// MinInterval is that of Updates.
+	MinInterval time.Duration
+	Log         *slog.Logger
 }
 
-// Updates are the changes as gateways exchange them.
-func (l ChangeLog[T]) Updates() UpdateKind {
-	return UpdateKind{Position: l.position, Since: l.since, Merge: l.merge, MinInterval: l.Every}
+// UpdateKind are the changes as gateways exchange them.
+func (l ChangeLog[T]) UpdateKind() UpdateKind {
+	return UpdateKind{Position: l.position, Since: l.since, Merge: l.merge, MinInterval: l.MinInterval}
 }
 
 func (l ChangeLog[T]) position() string { return formatPosition(l.Position()) }
--- a/internal/gateway/quota/updates.go
+++ b/internal/gateway/quota/updates.go
@@ -17,7 +17,7 @@
 func (r *Register) Updates() discovery.UpdateKind {
 	return discovery.ChangeLog[quota.Update]{
 		Name: "limits of targets", Position: r.position, Since: r.updatesSince, Merge: r.mergeUpdates, Log: r.options.Log,
-	}.Updates()
+	}.UpdateKind()
 }
 
 // position is how far the board has come.
--- a/internal/gateway/signals/updates.go
+++ b/internal/gateway/signals/updates.go
@@ -15,8 +15,8 @@
 // Updates are the updates that gateways exchange of the signals of targets.
 func (r *Register) Updates() discovery.UpdateKind {
 	return discovery.ChangeLog[signal.Update]{
-		Name: "signals of targets", Position: r.position, Since: r.since, Merge: r.merge, Every: shareEvery, Log: r.options.Log,
-	}.Updates()
+		Name: "signals of targets", Position: r.position, Since: r.since, Merge: r.merge, MinInterval: shareEvery, Log: r.options.Log,
+	}.UpdateKind()
 }
 
 // position is how far the board has come.
