--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -140,8 +140,8 @@
 	g.signals = signals.New(signals.Options{Self: s.ID, Clock: o.Clock, Log: g.log})
 	g.discovery = discovery.New(discovery.Options{
 		Self: self, FirstStart: s.FirstStart, Seeds: func() []string { return g.settings.Load().Seeds },
-		Source: followed(o.Source, s), Decode: g.decode, Timing: timing(s), Places: g.places.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
-		Fatal: g.fatal, LimitsFor: g.quota.LimitsFor, ObserveLimits: g.quota.ObserveLimits, Updates: []discovery.UpdateKind{g.quota.Updates(), g.signals.Updates()},
+		Source: followed(o.Source, s), Decode: g.decode, Timing: timing(s), Locality: g.places.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
+		Fatal: g.fatal, LimitsFor: g.quota.LimitsFor, ObserveLimits: g.quota.ObserveLimits, UpdateKinds: []discovery.UpdateKind{g.quota.Updates(), g.signals.Updates()},
 	})
 	g.quota.OnUpdate(g.discovery.Wake)
 	g.signals.OnUpdate(g.discovery.Wake)
--- a/gateway/rollout.go
+++ b/gateway/rollout.go
@@ -18,7 +18,7 @@
 	return delivery.Options{
 		Self: self, Limits: r.limits(),
 		Rollouts: g.discovery.Rollouts, Changed: g.discovery.Changed, Age: g.discovery.Age,
-		Reads: g.discovery.Reads, Leaving: g.stopping.Load,
+		Reads: g.discovery.ReadsStore, Leaving: g.stopping.Load,
 		Peers: g.discovery.Peers, Standing: g.discovery.VersionTargets,
 		Reports: g.reports, Record: g.options.Source.RecordRollout,
 		Clock: g.options.Clock, Metrics: g.metrics, Log: g.log,
--- a/gateway/timing.go
+++ b/gateway/timing.go
@@ -53,17 +53,17 @@
 func timing(s Settings) discovery.Timing {
 	within := inForceWithin(s)
 	return discovery.Timing{
-		Poll:        seconds(pollShare * within),
-		PollSlack:   seconds(pollSlackShare * within),
-		SilentAfter: seconds(silentShare * within),
-		AloneAfter:  seconds(aloneShare * within),
-		LastAfter:   seconds(lastShare * within),
-		Ping:        seconds(pingShare * within),
-		Batch:       seconds(batchShare * within),
-		AloneBatch:  seconds(aloneBatchShare * within),
-		Watch:       seconds(watchShare*s.WatchTrust) - watchSlack,
-		WatchSlack:  watchSlack,
-		OutageAfter: seconds(s.WatchTrust),
-		Restore:     min(seconds(s.RestoreWithin), seconds(restoreShare*s.WatchTrust)),
+		PollWait:       seconds(pollShare * within),
+		PollSlack:      seconds(pollSlackShare * within),
+		StaleAfter:     seconds(silentShare * within),
+		MayReadAfter:   seconds(aloneShare * within),
+		MustReadAfter:  seconds(lastShare * within),
+		PingInterval:   seconds(pingShare * within),
+		BatchDelay:     seconds(batchShare * within),
+		SoloBatchDelay: seconds(aloneBatchShare * within),
+		WatchWait:      seconds(watchShare*s.WatchTrust) - watchSlack,
+		WatchSlack:     watchSlack,
+		OutageAfter:    seconds(s.WatchTrust),
+		RestoreWithin:  min(seconds(s.RestoreWithin), seconds(restoreShare*s.WatchTrust)),
 	}
 }
--- a/gateway/timing_test.go
+++ b/gateway/timing_test.go
@@ -21,8 +21,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			got := timing(Settings{RestoreWithin: c.restore, WatchTrust: c.trust, ApplyWithin: 2})
-			g.Expect(got.Restore).To(Equal(c.want))
-			g.Expect(got.Restore).To(BeNumerically("<", got.OutageAfter))
+			g.Expect(got.RestoreWithin).To(Equal(c.want))
+			g.Expect(got.RestoreWithin).To(BeNumerically("<", got.OutageAfter))
 		})
 	}
 }
--- a/internal/gateway/discovery/announce.go
+++ b/internal/gateway/discovery/announce.go
@@ -17,7 +17,7 @@
 
 // announcedOf is how far a kind of update is announced; the lock is held.
 func (f *Follower) announcedOf(kind int) string {
-	w, a := &f.options.Updates[kind], &f.announced[kind]
+	w, a := &f.options.UpdateKinds[kind], &f.announced[kind]
 	position := w.Position()
 	if position == a.position {
 		return position
@@ -34,7 +34,7 @@
 // announceLater has the duty announce what could not be announced yet.
 func (f *Follower) announceLater() {
 	select {
-	case f.unannounced <- struct{}{}:
+	case f.announceRequests <- struct{}{}:
 	default: // it will
 	}
 }
@@ -42,14 +42,14 @@
 // announce is the duty of announcing updates that came soon after others.
 func (f *Follower) announce(ctx context.Context) error {
 	var every time.Duration
-	for _, w := range f.options.Updates {
+	for _, w := range f.options.UpdateKinds {
 		every = max(every, w.MinInterval)
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.unannounced:
+		case <-f.announceRequests:
 		}
 		if !pause.For(ctx, every) {
 			return nil
--- a/internal/gateway/discovery/calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -181,5 +181,5 @@
 // restoreDelay is how long after the store's return this gateway reads the
 // targets; the lock is held.
 func (f *Follower) restoreDelay(now time.Time) time.Duration {
-	return reader.RestoreDelay(f.rank(now), f.options.Timing.Restore)
+	return reader.RestoreDelay(f.rank(now), f.options.Timing.RestoreWithin)
 }
--- a/internal/gateway/discovery/calm_test.go
+++ b/internal/gateway/discovery/calm_test.go
@@ -29,14 +29,14 @@
 		defer func() { _ = client.Close() }()
 		var digest, reply discovery.UpdateReply
 		g.Expect(client.Call("Feed.News", discovery.UpdateArgs{Digest: true}, &digest)).To(Succeed())
-		time.Sleep(fleetTiming.Poll) // it pings the store as long as others ask it
+		time.Sleep(fleetTiming.PollWait) // it pings the store as long as others ask it
 		gw.access.silent.Store(true)
-		g.Expect(gw.Age()).To(BeNumerically("<", 4*fleetTiming.Ping/3))
-		for gw.Age() < 4*fleetTiming.Ping/3 {
+		g.Expect(gw.Age()).To(BeNumerically("<", 4*fleetTiming.PingInterval/3))
+		for gw.Age() < 4*fleetTiming.PingInterval/3 {
 			time.Sleep(time.Millisecond)
 		}
-		age := gw.Age() + fleetTiming.Ping
-		left := fleetTiming.SilentAfter - age
+		age := gw.Age() + fleetTiming.PingInterval
+		left := fleetTiming.StaleAfter - age
 		question := discovery.UpdateArgs{At: digest.Delta.To, Tries: digest.Tries, Digest: true, Age: age, Wait: 2 * left}
 		g.Expect(client.Call("Feed.News", question, &reply)).To(Succeed())
 		t.Logf("answered after %v, of %v until the caller's knowledge is too old", reply.Held, left)
@@ -54,7 +54,7 @@
 	}
 	links := 0
 	for _, own := range all[:10] {
-		gw := discovery.New(discovery.Options{Self: own.Box, Timing: fleetTiming, Draw: func() float64 { return 0.99 }})
+		gw := discovery.New(discovery.Options{Self: own.Box, Timing: fleetTiming, Random: func() float64 { return 0.99 }})
 		gw.Meet(all)
 		if gw.DrawNeighbour(0).Hall == "hall-1" {
 			links++
--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -52,7 +52,7 @@
 		dial := f.fabric.dialFrom(self.Peer)
 		source := g.access.rollingOut()
 		d := delivery.New(delivery.Options{
-			Self: self, Rollouts: g.Rollouts, Changed: g.Changed, Age: g.Age, Reads: g.Reads,
+			Self: self, Rollouts: g.Rollouts, Changed: g.Changed, Age: g.Age, Reads: g.ReadsStore,
 			Leaving: func() bool { return false }, Peers: g.Peers, Standing: g.VersionTargets,
 			Decide: decideByTime, Record: source.RecordRollout, Log: slog.New(slog.NewTextHandler(g.log, nil)),
 			Reports: func(running []catalog.Rollout) []rollout.Report { return c.reports(running, time.Since(began)) },
--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -71,37 +71,37 @@
 // Timing holds the times of a Follower; gateway.timing derives them from the
 // settings.
 type Timing struct {
-	// SilentAfter is how old knowledge may be: the gateways next in rank read the
+	// StaleAfter is how old knowledge may be: the gateways next in rank read the
 	// store then, and others no longer turn to whoever has such knowledge.
-	SilentAfter time.Duration
-	// AloneAfter is how old the knowledge of any other gateway may be before it
+	StaleAfter time.Duration
+	// MayReadAfter is how old the knowledge of any other gateway may be before it
 	// may read the store itself, and LastAfter the age by which it does.
-	AloneAfter time.Duration
-	LastAfter  time.Duration
-	// Ping is the pause between two pings of the store by a gateway whose watches
+	MayReadAfter  time.Duration
+	MustReadAfter time.Duration
+	// PingInterval is the pause between two pings of the store by a gateway whose watches
 	// others rely on.
-	Ping time.Duration
-	// Poll is how long one question to another gateway waits for updates.
-	Poll time.Duration
+	PingInterval time.Duration
+	// PollWait is how long one question to another gateway waits for updates.
+	PollWait time.Duration
 	// PollSlack is how much later than Poll the answer may come.
 	PollSlack time.Duration
-	// Watch is how long one watch of the store waits for changes.
-	Watch time.Duration
+	// WatchWait is how long one watch of the store waits for changes.
+	WatchWait time.Duration
 	// WatchSlack is how much later than Watch its answer may come.
 	WatchSlack time.Duration
-	// Batch is the pause after an update from the store, in which more may gather.
-	Batch time.Duration
-	// AloneBatch is that pause where no other gateway asks for updates.
-	AloneBatch time.Duration
+	// BatchDelay is the pause after an update from the store, in which more may gather.
+	BatchDelay time.Duration
+	// SoloBatchDelay is that pause where no other gateway asks for updates.
+	SoloBatchDelay time.Duration
 	// OutageAfter is how long nothing can be confirmed before entries of targets
 	// may have lapsed in the store, and Restore how soon after its return those
 	// of targets that live are there again.
-	OutageAfter time.Duration
-	Restore     time.Duration
+	OutageAfter   time.Duration
+	RestoreWithin time.Duration
 }
 
 func (t Timing) freshness() freshness.Timing {
-	return freshness.Timing{Fresh: t.SilentAfter, Watch: t.Watch, WatchSlack: t.WatchSlack, Outage: t.OutageAfter}
+	return freshness.Timing{Fresh: t.StaleAfter, Watch: t.WatchWait, WatchSlack: t.WatchSlack, Outage: t.OutageAfter}
 }
 
 // Options configure a Follower.
@@ -117,10 +117,10 @@
 	Decode func(body []byte) (*routing.Table, error)
 	Timing Timing
 	Clock  func() time.Time
-	// TimeOfDay is what other lives of gateways can compare with; nil for time.Now.
-	TimeOfDay func() time.Time
-	// Places says how far halls are. It may be nil for a fleet of one region.
-	Places func() *locality.Map
+	// WallClock is what other lives of gateways can compare with; nil for time.Now.
+	WallClock func() time.Time
+	// Locality says how far halls are. It may be nil for a fleet of one region.
+	Locality func() *locality.Map
 	// Fatal is what is known of requests that end targets, which gateways exchange;
 	// nil where nobody notes any here.
 	Fatal *fatal.Register
@@ -128,14 +128,14 @@
 	// send each other, and ObserveLimits takes in what another one says; nil where nobody does here.
 	LimitsFor     func() time.Duration
 	ObserveLimits func(left time.Duration)
-	// Updates are what gateways exchange besides, in the order in which versions began to.
-	Updates []UpdateKind
+	// UpdateKinds are what gateways exchange besides, in the order in which versions began to.
+	UpdateKinds []UpdateKind
 	// Metrics may be nil.
 	Metrics *metrics.Metrics
 	Log     *slog.Logger
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	// Draw gives a uniform number in [0, 1).
-	Draw func() float64
+	// Random gives a uniform number in [0, 1).
+	Random func() float64
 }
 
 // Follower holds what is believed and how fresh it is.
@@ -157,41 +157,41 @@
 	// packedConfig and packedTargets are the catalog's as sent to others.
 	packedConfig  packedConfig
 	packedTargets packedTargets
-	// neighbours are the ids of the gateways that have a place, "" for none.
-	neighbours [neighbours]string
-	// nextSeed counts the seeds that were tried.
-	nextSeed int
-	// met is when the first other gateway was found; zero before.
-	met time.Time
-	// offered is when another gateway last said that it knows more.
-	offered time.Time
-	// reads says whether the reading of the store falls to this gateway, and draw is
+	// neighbourIDs are the ids of the gateways that have a place, "" for none.
+	neighbourIDs [neighbours]string
+	// seedIndex counts the seeds that were tried.
+	seedIndex int
+	// firstPeerAt is when the first other gateway was found; zero before.
+	firstPeerAt time.Time
+	// lastOfferAt is when another gateway last said that it knows more.
+	lastOfferAt time.Time
+	// isReader says whether the reading of the store falls to this gateway, and draw is
 	// the random number by which it does.
-	reads bool
-	draw  float64
-	// tried is this gateway's latest try to read the store on behalf of others.
-	tried reader.Try
+	isReader   bool
+	readerDraw float64
+	// ownTry is this gateway's latest try to read the store on behalf of others.
+	ownTry reader.Try
 	// rereads are when all must be read again since the store came back older.
 	rereads rereads
 	// saved is what the store holds of requests that end targets.
 	saved saved
-	// asked is when another gateway last asked this one for updates.
-	asked time.Time
+	// lastAskedAt is when another gateway last lastAskedAt this one for updates.
+	lastAskedAt time.Time
 
 	// Offers wait to be taken up: offers those of gateways of the own region,
 	// otherRegionOffers those of others.
 	offers, otherRegionOffers chan offer
 	// announced is how far each kind of update is announced, and unannounced has a place for
 	// the wish to announce more.
-	announced   []announced
-	unannounced chan struct{}
-	links       *links
-	// wholes bounds how often all that is known is sent.
-	wholes *rate.Limiter
+	announced        []announced
+	announceRequests chan struct{}
+	links            *links
+	// fullDeltas bounds how often all that is known is sent.
+	fullDeltas *rate.Limiter
 
-	believed atomic.Pointer[snapshot.Snapshot]
-	ready    chan struct{}
-	once     sync.Once
+	published atomic.Pointer[snapshot.Snapshot]
+	ready     chan struct{}
+	readyOnce sync.Once
 }
 
 // New makes a follower that knows nothing.
@@ -199,12 +199,12 @@
 	o = o.withDefaults()
 	f := &Follower{
 		options: o, started: o.Clock(), catalog: catalog.New(), versions: rollout.NewVersions(), fresh: freshness.New(o.Timing.freshness(), peers.Before),
-		view: peers.New(o.Self, func(n int) int { return int(o.Draw() * float64(n)) }), draw: o.Draw(),
+		view: peers.New(o.Self, func(n int) int { return int(o.Random() * float64(n)) }), readerDraw: o.Random(),
 		changed: make(chan struct{}), ready: make(chan struct{}), offers: make(chan offer, keptOffers), otherRegionOffers: make(chan offer, keptOffers),
-		announced: make([]announced, len(o.Updates)), unannounced: make(chan struct{}, 1),
-		links: newLinks(o.Dial, o.Clock), wholes: rate.NewLimiter(rate.Every(wholeEvery), wholesAtOnce),
+		announced: make([]announced, len(o.UpdateKinds)), announceRequests: make(chan struct{}, 1),
+		links: newLinks(o.Dial, o.Clock), fullDeltas: rate.NewLimiter(rate.Every(wholeEvery), wholesAtOnce),
 	}
-	f.nextSeed = int(o.Draw() * float64(len(o.Seeds())))
+	f.seedIndex = int(o.Random() * float64(len(o.Seeds())))
 	f.view.SetTiers(f.tier)
 	o.Fatal.OnUpdate(f.Wake)
 	if o.Source.followsEvacuations() {
@@ -213,7 +213,7 @@
 	if o.Source.followsRollouts() {
 		f.fresh.FollowRollouts()
 	}
-	f.believed.Store(snapshot.New(nil, nil))
+	f.published.Store(snapshot.New(nil, nil))
 	return f
 }
 
@@ -222,8 +222,8 @@
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
-	if o.TimeOfDay == nil {
-		o.TimeOfDay = time.Now
+	if o.WallClock == nil {
+		o.WallClock = time.Now
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -240,12 +240,12 @@
 	if o.Seeds == nil {
 		o.Seeds = func() []string { return nil }
 	}
-	if o.Places == nil {
+	if o.Locality == nil {
 		places := locality.New(o.Self.Hall, "", nil)
-		o.Places = func() *locality.Map { return places }
+		o.Locality = func() *locality.Map { return places }
 	}
-	if o.Draw == nil {
-		o.Draw = rand.Float64
+	if o.Random == nil {
+		o.Random = rand.Float64
 	}
 	return o
 }
@@ -269,7 +269,7 @@
 }
 
 // Snapshot is what is believed now.
-func (f *Follower) Snapshot() *snapshot.Snapshot { return f.believed.Load() }
+func (f *Follower) Snapshot() *snapshot.Snapshot { return f.published.Load() }
 
 // Ready is closed once a configuration and the targets are known.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
@@ -299,8 +299,8 @@
 	return f.fresh.Age(f.options.Clock())
 }
 
-// Reads says whether this gateway's own watches are in order.
-func (f *Follower) Reads() bool {
+// ReadsStore says whether this gateway's own watches are in order.
+func (f *Follower) ReadsStore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh.Reads(f.options.Clock())
@@ -320,9 +320,9 @@
 	f.changed = make(chan struct{})
 }
 
-// wakeIfOld wakes those that wait if what is believed had grown old; the lock is
+// wakeIfStale wakes those that wait if what is believed had grown old; the lock is
 // held.
-func (f *Follower) wakeIfOld(wasOld bool) {
+func (f *Follower) wakeIfStale(wasOld bool) {
 	if wasOld {
 		f.wake()
 	}
@@ -335,9 +335,9 @@
 	return f.catalog.Position()
 }
 
-// knows says whether a configuration, the targets, and what else is followed are known;
+// isInitialized says whether a configuration, the targets, and what else is followed are known;
 // the lock is held.
-func (f *Follower) knows() bool {
+func (f *Follower) isInitialized() bool {
 	position := f.catalog.Position()
 	return position.ConfigRevision > 0 && position.Targets > 0 && f.canConfirm(position)
 }
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -298,10 +298,10 @@
 }
 
 var timing = discovery.Timing{
-	SilentAfter: time.Second, AloneAfter: 1100 * time.Millisecond, LastAfter: 1600 * time.Millisecond, Ping: 100 * time.Millisecond,
-	Poll: 300 * time.Millisecond, PollSlack: 300 * time.Millisecond,
-	Watch: time.Second, WatchSlack: 300 * time.Millisecond, Batch: time.Millisecond, AloneBatch: time.Millisecond,
-	OutageAfter: 1500 * time.Millisecond, Restore: 500 * time.Millisecond,
+	StaleAfter: time.Second, MayReadAfter: 1100 * time.Millisecond, MustReadAfter: 1600 * time.Millisecond, PingInterval: 100 * time.Millisecond,
+	PollWait: 300 * time.Millisecond, PollSlack: 300 * time.Millisecond,
+	WatchWait: time.Second, WatchSlack: 300 * time.Millisecond, BatchDelay: time.Millisecond, SoloBatchDelay: time.Millisecond,
+	OutageAfter: 1500 * time.Millisecond, RestoreWithin: 500 * time.Millisecond,
 }
 
 func listen(t *testing.T) net.Listener {
@@ -391,7 +391,7 @@
 // those that are not ranked first rest.
 func thatRead(s *fakeStore, gateways []*gateway) []*gateway {
 	s.setTarget("s1", false)
-	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool { return !gw.Reads() })
+	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool { return !gw.ReadsStore() })
 }
 
 // takenUp counts how often gateways took up the reading, by their logs.
@@ -467,7 +467,7 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	patient := timing
-	patient.Watch = time.Minute // longer than this test waits
+	patient.WatchWait = time.Minute // longer than this test waits
 	reader := startTimed(t, "reader", 0, listen(t), &access{store: s}, nil, patient)
 	g.Eventually(reader.version, eventual).Should(Equal(uint64(1)))
 	seeds := []string{reader.Addr().String()}
@@ -475,9 +475,9 @@
 	expectAll(g, []*gateway{reader, other}, 1)
 	g.Eventually(func() bool {
 		s.setTarget("s1", false) // ends the watches, so that the one that is not ranked first rests
-		return reader.Reads() != other.Reads()
+		return reader.ReadsStore() != other.ReadsStore()
 	}, eventual).Should(BeTrue())
-	if other.Reads() {
+	if other.ReadsStore() {
 		reader, other = other, reader
 	}
 	reader.access.silent.Store(true)
@@ -489,20 +489,20 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	patient := timing
-	patient.Watch = time.Hour
+	patient.WatchWait = time.Hour
 	first := startTimed(t, "first", 0, listen(t), &access{store: s}, nil, patient)
 	expectAll(g, []*gateway{first}, 1)
 	other := startTimed(t, "other", 0, listen(t), &access{store: s}, []string{first.Addr().String()}, patient)
 	expectAll(g, []*gateway{other}, 1)
 	g.Eventually(func() bool {
 		s.setTarget("s1", false)
-		return first.Reads() != other.Reads()
+		return first.ReadsStore() != other.ReadsStore()
 	}, eventual).Should(BeTrue())
-	if other.Reads() {
+	if other.ReadsStore() {
 		first, other = other, first
 	}
 	first.kill()
-	g.Eventually(other.Reads, eventual).Should(BeTrue(), "no change ends its watch for an hour")
+	g.Eventually(other.ReadsStore, eventual).Should(BeTrue(), "no change ends its watch for an hour")
 	g.Expect(other.Current()).To(BeTrue())
 }
 
@@ -518,7 +518,7 @@
 	g.Eventually(func() bool { now := reading(); return len(now) == 1 && now[0] != first }, eventual).Should(BeTrue())
 	before := takenUp(gateways)
 	for version := uint64(2); version < 12; version++ {
-		time.Sleep(timing.SilentAfter / 2)
+		time.Sleep(timing.StaleAfter / 2)
 		s.setConfig(version)
 		expectAll(g, gateways, version)
 	}
@@ -548,7 +548,7 @@
 	before := takenUp(left)
 	gateways[lost].access.silent.Store(true)
 	proxies[lost].Set(faultproxy.Fault{HoldRequests: true, HoldAnswers: true})
-	time.Sleep(2 * timing.LastAfter)
+	time.Sleep(2 * timing.MustReadAfter)
 	t.Logf("%d took up the reading", takenUp(left)-before)
 	g.Expect(takenUp(left)-before).To(BeNumerically("<", len(left)), "not all")
 	for _, gw := range left {
@@ -635,7 +635,7 @@
 	s.setConfig(1)
 	s.setTarget("s1", false)
 	patient := timing
-	patient.Restore = time.Hour
+	patient.RestoreWithin = time.Hour
 	for _, gw := range fleetTimed(t, s, 5, patient) {
 		g.Eventually(gw.Ready(), eventual).Should(BeClosed())
 		s.setTarget("s2", false)
@@ -648,7 +648,7 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	patient := timing
-	patient.SilentAfter, patient.AloneAfter, patient.LastAfter = time.Hour, time.Hour, time.Hour
+	patient.StaleAfter, patient.MayReadAfter, patient.MustReadAfter = time.Hour, time.Hour, time.Hour
 	var seeds []string
 	var gateways []*gateway
 	for i := range 6 {
@@ -669,7 +669,7 @@
 			s.setTarget("s1", false)
 			s.setTarget("s2", false)
 			patient := timing
-			patient.Restore = 3 * time.Second // far longer than it takes to make an entry again
+			patient.RestoreWithin = 3 * time.Second // far longer than it takes to make an entry again
 			gateways := fleetTimed(t, s, 3, patient)
 			expectAll(g, gateways, 1)
 			expectCurrent(g, gateways)
--- a/internal/gateway/discovery/draw.go
+++ b/internal/gateway/discovery/draw.go
@@ -40,16 +40,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	f.neighbours[place] = ""
+	f.neighbourIDs[place] = ""
 	n := &neighbour{place: place}
 	if box, ok := f.view.Neighbour(now, f.whereFor(now, place), f.isNeighbour); ok {
-		f.neighbours[place] = box.ID
+		f.neighbourIDs[place] = box.ID
 		n.peer = box
 		n.until = now.Add(f.keepFor(now) * f.factor(n))
 		return n, true
 	}
 	early := now.Sub(f.started) < time.Duration(place)*seedStagger
-	if place > 0 && (early || f.knows() || !f.view.Alone(now)) {
+	if place > 0 && (early || f.isInitialized() || !f.view.Alone(now)) {
 		return nil, false
 	}
 	n.peer.Peer = f.takeSeed()
@@ -75,7 +75,7 @@
 // about draws a time between two and four thirds of one, so that what gateways do
 // regularly does not fall into step.
 func (f *Follower) about(d time.Duration) time.Duration {
-	return 2*d/3 + time.Duration(f.options.Draw()*float64(2*d/3))
+	return 2*d/3 + time.Duration(f.options.Random()*float64(2*d/3))
 }
 
 // whereFor says where to look for a neighbour: only one place links halls and one
@@ -93,7 +93,7 @@
 
 // isNeighbour says whether a gateway has a place; the lock is held.
 func (f *Follower) isNeighbour(id string) bool {
-	for _, other := range f.neighbours {
+	for _, other := range f.neighbourIDs {
 		if other == id {
 			return true
 		}
@@ -106,8 +106,8 @@
 func (f *Follower) takeSeed() string {
 	seeds := f.options.Seeds()
 	for range seeds {
-		f.nextSeed++
-		if seed := seeds[f.nextSeed%len(seeds)]; seed != f.options.Self.Peer {
+		f.seedIndex++
+		if seed := seeds[f.seedIndex%len(seeds)]; seed != f.options.Self.Peer {
 			return seed
 		}
 	}
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -327,7 +327,7 @@
 	a.silent.Store(true)
 	gw := startFollowing(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
-	g.Consistently(gw.Current, timing.LastAfter).Should(BeFalse(), "nobody has told of evacuations")
+	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "nobody has told of evacuations")
 	a.silent.Store(false)
 	g.Eventually(gw.EvacuatedHallCount, eventual).Should(Equal(1), "so it reads them itself")
 	g.Expect(gw.targets()).To(BeEmpty())
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -121,7 +121,7 @@
 // confirm notes that what is believed was all that the store held at a moment, by
 // the reading of the gateway origin; the lock is held.
 func (f *Follower) confirm(at time.Time, origin string) {
-	f.wakeIfOld(f.fresh.Confirm(at, origin))
+	f.wakeIfStale(f.fresh.Confirm(at, origin))
 }
 
 // noteTries takes in which tries to read the store another gateway knows of; the lock is
--- a/internal/gateway/discovery/fetch.go
+++ b/internal/gateway/discovery/fetch.go
@@ -29,7 +29,7 @@
 // noteOffer puts an offer where fetch finds it; the lock is held.
 func (f *Follower) noteOffer(now time.Time, o offer) {
 	if o.at.Targets > 0 {
-		f.offered = now // all that a gateway needs to begin with
+		f.lastOfferAt = now // all that a gateway needs to begin with
 	}
 	offers := f.offers
 	if f.inOtherRegion(o.peer) {
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -32,11 +32,11 @@
 
 // fleetTiming is that of a deployment whose updates must be in force within 3 s.
 var fleetTiming = discovery.Timing{
-	SilentAfter: 1500 * time.Millisecond, AloneAfter: 1650 * time.Millisecond, LastAfter: 2400 * time.Millisecond,
-	Ping: 300 * time.Millisecond, Poll: 450 * time.Millisecond, PollSlack: 360 * time.Millisecond,
-	Watch: 3 * time.Second, WatchSlack: 200 * time.Millisecond,
-	Batch: 450 * time.Millisecond, AloneBatch: 1200 * time.Millisecond,
-	OutageAfter: 4 * time.Second, Restore: 2300 * time.Millisecond,
+	StaleAfter: 1500 * time.Millisecond, MayReadAfter: 1650 * time.Millisecond, MustReadAfter: 2400 * time.Millisecond,
+	PingInterval: 300 * time.Millisecond, PollWait: 450 * time.Millisecond, PollSlack: 360 * time.Millisecond,
+	WatchWait: 3 * time.Second, WatchSlack: 200 * time.Millisecond,
+	BatchDelay: 450 * time.Millisecond, SoloBatchDelay: 1200 * time.Millisecond,
+	OutageAfter: 4 * time.Second, RestoreWithin: 2300 * time.Millisecond,
 }
 
 // bigFleet is a fleet of gateways in virtual time.
@@ -107,9 +107,9 @@
 	g.Follower = discovery.New(discovery.Options{
 		Self: self, FirstStart: first, Seeds: func() []string { return []string{f.address(0), f.address(1), f.address(2)} },
 		Source: f.source(g.access), Timing: fleetTiming, Log: slog.New(slog.NewTextHandler(g.log, nil)),
-		Dial: f.fabric.dialFrom(address), Places: func() *locality.Map { return places }, Fatal: g.fatal, Updates: []discovery.UpdateKind{g.limits.Updates(), g.signals.Updates()},
+		Dial: f.fabric.dialFrom(address), Locality: func() *locality.Map { return places }, Fatal: g.fatal, UpdateKinds: []discovery.UpdateKind{g.limits.Updates(), g.signals.Updates()},
 		Clock: func() time.Time { return time.Now().Add(time.Duration(g.slept.Load())) },
-		Draw: func() float64 {
+		Random: func() float64 {
 			mu.Lock()
 			defer mu.Unlock()
 			return draws.Float64()
@@ -233,7 +233,7 @@
 			}
 			fleet.t.Logf("knowledge was %v old at most", oldest)
 			g.Expect(takenUp(fleet.gateways)).To(Equal(before), "no other takes the reading up")
-			g.Expect(oldest).To(BeNumerically("<", fleetTiming.SilentAfter))
+			g.Expect(oldest).To(BeNumerically("<", fleetTiming.StaleAfter))
 		})
 	}
 }
@@ -290,7 +290,7 @@
 				// The reader's pings are 20 of these. Of each by itself, two calls at once and
 				// three more with back-off, the third alone would make 160.
 				g.Expect(spent).To(BeNumerically("<", 130))
-				g.Expect(took).To(BeNumerically("<", fleetTiming.LastAfter), "by then whoever has heard nothing reads")
+				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter), "by then whoever has heard nothing reads")
 				g.Expect(takenUp(fleet.gateways) - before).To(BeNumerically("<=", c.most))
 				fleet.fabric.setCut(func(string, string) bool { return false })
 				for _, gw := range part {
--- a/internal/gateway/discovery/heal.go
+++ b/internal/gateway/discovery/heal.go
@@ -37,7 +37,7 @@
 func (f *Follower) lostPeer() member.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.options.Draw() < healSeedShare {
+	if f.options.Random() < healSeedShare {
 		return member.Box{Peer: f.takeSeed()}
 	}
 	box, _ := f.view.Lost(f.options.Clock())
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -72,7 +72,7 @@
 	}
 	defer func() { f.links.release(l, err != nil) }()
 	var reply *UpdateReply
-	for wait := time.Duration(0); ctx.Err() == nil && f.isKept(n); wait = f.options.Timing.Poll {
+	for wait := time.Duration(0); ctx.Err() == nil && f.isKept(n); wait = f.options.Timing.PollWait {
 		asked := f.options.Clock()
 		if reply, err = f.exchange(ctx, l, n, wait); err != nil {
 			f.noteLost(n.peer, err)
@@ -196,7 +196,7 @@
 	}
 	n.at, n.receivedUpdates = reply.Delta.To, parsePositions(reply.FatalAt)
 	n.confirmed = now.Add(-min(reply.Age, longAgo))
-	if !f.fresh.Fresh(now) && reply.Age >= f.options.Timing.SilentAfter {
+	if !f.fresh.Fresh(now) && reply.Age >= f.options.Timing.StaleAfter {
 		n.until = earlier(n.until, now.Add(staleFor))
 	}
 }
@@ -244,8 +244,8 @@
 	if observe(now, box) {
 		f.options.Log.Info("peer back", "peer", box.ID, "address", box.Peer)
 	}
-	if f.met.IsZero() {
-		f.met = now
+	if f.firstPeerAt.IsZero() {
+		f.firstPeerAt = now
 	}
 	if alone || box.Leaving {
 		f.wake() // there is somebody to exchange with, or to be replaced
--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -11,12 +11,12 @@
 // store can be reached, as long as other gateways rely on this one: a watch
 // whose path is cut waits in silence.
 func (f *Follower) ping(ctx context.Context) error {
-	for pause.For(ctx, f.options.Timing.Ping) {
+	for pause.For(ctx, f.options.Timing.PingInterval) {
 		began := f.options.Clock()
 		if !f.isRelied(began) {
 			continue
 		}
-		pingCtx, cancel := context.WithTimeout(ctx, f.options.Timing.SilentAfter)
+		pingCtx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 		err := f.options.Source.Ping(pingCtx)
 		cancel()
 		f.pinged(began, err)
@@ -36,8 +36,8 @@
 // is linked to one; the lock is held.
 func (f *Follower) isAsked(now time.Time) bool {
 	timing := f.options.Timing
-	asked := !f.asked.IsZero() && now.Sub(f.asked) < timing.Poll+timing.PollSlack
-	return asked || f.neighbours != [neighbours]string{}
+	asked := !f.lastAskedAt.IsZero() && now.Sub(f.lastAskedAt) < timing.PollWait+timing.PollSlack
+	return asked || f.neighbourIDs != [neighbours]string{}
 }
 
 // pinged works in how a ping that began at a moment ended. One that failed is
@@ -50,5 +50,5 @@
 		return
 	}
 	f.options.Metrics.StoreCall(callPing, callAnswered)
-	f.wakeIfOld(f.fresh.Pinged(began, f.options.Self.ID))
+	f.wakeIfStale(f.fresh.Pinged(began, f.options.Self.ID))
 }
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -72,7 +72,7 @@
 // publish makes the snapshot that the data path uses: without targets that leave, and
 // without those of halls that are evacuated; the lock is held.
 func (f *Follower) publish(from string) {
-	before := f.believed.Load().ByService()
+	before := f.published.Load().ByService()
 	targets, evacuated := map[string][]catalog.Target{}, map[string]int{}
 	leaving := map[catalog.Life]bool{}
 	known := map[string][]catalog.Target{}
@@ -88,10 +88,10 @@
 		}
 	}
 	assigned := f.assign(known, targets)
-	f.believed.Store(snapshot.New(f.table, targets).WithEvacuated(evacuated).WithRollouts(assigned).WithLeaving(leaving))
+	f.published.Store(snapshot.New(f.table, targets).WithEvacuated(evacuated).WithRollouts(assigned).WithLeaving(leaving))
 	f.logTargets(from, before, targets)
 	if f.table != nil && f.catalog.HasTargets() {
-		f.once.Do(func() { close(f.ready) })
+		f.readyOnce.Do(func() { close(f.ready) })
 	}
 }
 
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -116,14 +116,14 @@
 func (f *Follower) reach(ctx context.Context, w *watch, whole bool) error {
 	timing := f.options.Timing
 	if failedBefore := f.begin(w); failedBefore {
-		pingCtx, cancel := context.WithTimeout(ctx, timing.SilentAfter)
+		pingCtx, cancel := context.WithTimeout(ctx, timing.StaleAfter)
 		defer cancel()
 		if err := f.options.Source.Ping(pingCtx); err != nil {
 			f.end(w, err)
 			return err
 		}
 	}
-	callCtx, cancel := context.WithTimeout(ctx, timing.Watch+timing.WatchSlack)
+	callCtx, cancel := context.WithTimeout(ctx, timing.WatchWait+timing.WatchSlack)
 	defer cancel()
 	err := w.call(callCtx, whole)
 	f.end(w, err)
@@ -164,7 +164,7 @@
 		f.options.Metrics.StoreCall(w.name, callAnswered)
 		f.noteReturn(now)
 		f.setFailing(w, nil)
-		f.wakeIfOld(f.fresh.Answered(w.state, now, f.options.Self.ID))
+		f.wakeIfStale(f.fresh.Answered(w.state, now, f.options.Self.ID))
 	case errors.Is(err, ErrGone):
 		// The list that is asked for next shows whether the store is back.
 		f.options.Metrics.StoreCall(w.name, callAnswered)
@@ -174,8 +174,8 @@
 	default:
 		f.options.Metrics.StoreCall(w.name, callFailed)
 		f.setFailing(w, err)
-		f.tried.Failed = true
-		if f.tries.Note(now, f.tried) {
+		f.ownTry.Failed = true
+		if f.tries.Note(now, f.ownTry) {
 			f.wake() // others need not wait for this one
 		}
 		f.fresh.NoteFailed(now)
@@ -206,9 +206,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isAsked(f.options.Clock()) {
-		return f.options.Timing.Batch
+		return f.options.Timing.BatchDelay
 	}
-	return f.options.Timing.AloneBatch
+	return f.options.Timing.SoloBatchDelay
 }
 
 // longestRetry is the longest pause between two calls while the store fails.
@@ -246,5 +246,5 @@
 		return firstWait
 	}
 	share := minWaitShare + (1-minWaitShare)*rand.Float64()
-	return time.Duration(share * float64(f.options.Timing.Watch))
+	return time.Duration(share * float64(f.options.Timing.WatchWait))
 }
--- a/internal/gateway/discovery/region.go
+++ b/internal/gateway/discovery/region.go
@@ -15,7 +15,7 @@
 const regionSlack = 400 * time.Millisecond
 
 // tier is how far a hall is.
-func (f *Follower) tier(hall string) locality.Tier { return f.options.Places().Tier(hall) }
+func (f *Follower) tier(hall string) locality.Tier { return f.options.Locality().Tier(hall) }
 
 // inOtherRegion says whether a gateway may be in another region; a seed, whose hall is not
 // known, counts as such where the fleet spans regions.
@@ -44,7 +44,7 @@
 // sooner. Each neighbour there sends it, so this is done only where little can be missing.
 // The lock is held.
 func (f *Follower) asksInFull(peer member.Box) bool {
-	return peer.ID != "" && f.inOtherRegion(peer) && f.knows()
+	return peer.ID != "" && f.inOtherRegion(peer) && f.isInitialized()
 }
 
 // newsFor is what is sent to a neighbour in another region beside this gateway's position;
--- a/internal/gateway/discovery/region_test.go
+++ b/internal/gateway/discovery/region_test.go
@@ -17,8 +17,8 @@
 	t.Helper()
 	places := locality.New("a", "", map[string]string{"a": "north", "b": "north", "c": "south"})
 	f := New(Options{
-		Self: member.Box{ID: "self", Hall: "a"}, Places: func() *locality.Map { return places },
-		Timing: Timing{SilentAfter: time.Second, PollSlack: 300 * time.Millisecond},
+		Self: member.Box{ID: "self", Hall: "a"}, Locality: func() *locality.Map { return places },
+		Timing: Timing{StaleAfter: time.Second, PollSlack: 300 * time.Millisecond},
 		Decode: func([]byte) (*routing.Table, error) { return routing.New(routing.Config{Version: 1}), nil },
 	})
 	f.apply("test", func(c *catalog.Catalog) catalog.Changed {
--- a/internal/gateway/discovery/regions_test.go
+++ b/internal/gateway/discovery/regions_test.go
@@ -160,7 +160,7 @@
 				time.Sleep(time.Second)
 			}
 			g.Expect(slices.Max(took)).To(BeNumerically("<=", 5*wide+inForceSlack))
-			g.Expect(oldest).To(BeNumerically("<", fleetTiming.LastAfter))
+			g.Expect(oldest).To(BeNumerically("<", fleetTiming.MustReadAfter))
 			g.Expect(spent).To(BeNumerically("<", 140), "one reads, and pings three times a second")
 			fleet.t.Logf("FIGURES size %d regions %d wide %v: start %d kB; calm: %d calls, oldest %v, %.1f kB/s, %.0f writes/s between regions; took up %d, reads in %v; in force after %v",
 				size, regions, wide, before.bytes/1000, spent, oldest.Round(time.Millisecond), float64(after.bytes-before.bytes)/calm/1000,
--- a/internal/gateway/discovery/rewind.go
+++ b/internal/gateway/discovery/rewind.go
@@ -26,7 +26,7 @@
 // at a position; the lock is held.
 func (f *Follower) noteLife(now time.Time, before catalog.Position) {
 	after := f.catalog.Position()
-	due := now.Add(time.Duration(rereadFactor * float64(f.options.Timing.Restore)))
+	due := now.Add(time.Duration(rereadFactor * float64(f.options.Timing.RestoreWithin)))
 	came := false
 	for _, kind := range []struct {
 		due           *time.Time
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -26,12 +26,12 @@
 // setReads notes whether the reading falls to this gateway and logs a change; the
 // lock is held.
 func (f *Follower) setReads(reads bool) {
-	if reads == f.reads {
+	if reads == f.isReader {
 		return
 	}
-	f.reads = reads
+	f.isReader = reads
 	if !reads {
-		f.draw = f.options.Draw()
+		f.readerDraw = f.options.Random()
 	}
 	f.options.Log.Info("reading the store", "reads", reads, "rank", f.rank(f.options.Clock()), "age_s", f.loggedAge())
 }
@@ -40,7 +40,7 @@
 // held.
 func (f *Follower) untilReading(now time.Time) time.Duration {
 	return reader.Until(f.readerState(now), reader.Timing{
-		Standby: f.options.Timing.SilentAfter, Alone: f.options.Timing.AloneAfter, Last: f.options.Timing.LastAfter,
+		Standby: f.options.Timing.StaleAfter, Alone: f.options.Timing.MayReadAfter, Last: f.options.Timing.MustReadAfter,
 	})
 }
 
@@ -48,21 +48,21 @@
 func (f *Follower) readerState(now time.Time) reader.State {
 	self := f.options.Self
 	return reader.State{
-		Rank: f.rank(now), Draw: f.draw, FirstStart: f.options.FirstStart,
+		Rank: f.rank(now), Draw: f.readerDraw, FirstStart: f.options.FirstStart,
 		Seed: slices.Contains(f.options.Seeds(), self.Peer), Alone: f.view.Alone(now), Running: now.Sub(f.started),
 		InCompany: f.inCompany(now),
-		Knows:     f.knows(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.offered), Age: f.fresh.Age(now),
-		Reads: f.reads && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
+		Knows:     f.isInitialized(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.lastOfferAt), Age: f.fresh.Age(now),
+		Reads: f.isReader && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
 		HeldFor: f.tries.HeldFor(now, self.ID), TriedFor: f.tries.TriedFor(now, self.ID),
 	}
 }
 
 // inCompany is how long any other gateway has been known; the lock is held.
 func (f *Follower) inCompany(now time.Time) time.Duration {
-	if f.met.IsZero() {
+	if f.firstPeerAt.IsZero() {
 		return 0
 	}
-	return now.Sub(f.met)
+	return now.Sub(f.firstPeerAt)
 }
 
 // rank is this gateway's place in the order of readers; the lock is held.
@@ -71,8 +71,8 @@
 // noteTry notes that this gateway begins to call the store, so that others that learn of
 // it wait; the lock is held.
 func (f *Follower) noteTry(now time.Time) {
-	f.tried = reader.Try{ID: f.options.Self.ID, Number: now.UnixNano()}
-	if f.tries.Note(now, f.tried) {
+	f.ownTry = reader.Try{ID: f.options.Self.ID, Number: now.UnixNano()}
+	if f.tries.Note(now, f.ownTry) {
 		f.wake()
 	}
 }
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -189,7 +189,7 @@
 				bound := fail(fleet)
 				took := fleet.untilShare(bound, 0)
 				fleet.t.Logf("in force after %v", took)
-				g.Expect(took).To(BeNumerically("<", fleetTiming.LastAfter+200*time.Millisecond))
+				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter+200*time.Millisecond))
 			})
 		})
 	}
@@ -291,7 +291,7 @@
 	a.silent.Store(true)
 	gw := startRollingOut(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(func() bool { return gw.Snapshot().Table() != nil }, eventual).Should(BeTrue())
-	g.Consistently(gw.Current, timing.LastAfter).Should(BeFalse(), "nobody has told of rollouts")
+	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "nobody has told of rollouts")
 	a.silent.Store(false)
 	g.Eventually(func() int { return gw.permille("shop") }, eventual).Should(Equal(50), "so it reads them itself")
 	g.Eventually(gw.Current, eventual).Should(BeTrue())
--- a/internal/gateway/discovery/saved.go
+++ b/internal/gateway/discovery/saved.go
@@ -58,7 +58,7 @@
 	retry.MaxInterval = otherRetry
 	at := uint64(0)
 	for ctx.Err() == nil {
-		if !f.Reads() {
+		if !f.ReadsStore() {
 			at = 0
 			f.forgetSaved()
 			if !f.idle(ctx, maxLook) {
@@ -126,7 +126,7 @@
 		f.options.Log.Error("saved quarantine not understood; it is written anew", "revision", latest.Revision, "error", err.Error())
 		return
 	}
-	age := max(0, f.options.TimeOfDay().Sub(time.UnixMilli(f.saved.document.WrittenAt)))
+	age := max(0, f.options.WallClock().Sub(time.UnixMilli(f.saved.document.WrittenAt)))
 	f.mergeFatal(f.saved.document.aged(age), fromStore)
 }
 
@@ -192,7 +192,7 @@
 		return object, false
 	}
 	updates, prints := f.options.Fatal.QuarantinedUpdates()
-	now := f.options.TimeOfDay()
+	now := f.options.WallClock()
 	lacks := slices.ContainsFunc(prints, func(print string) bool { return !slices.Contains(f.saved.document.Quarantined, print) })
 	age := now.Sub(time.UnixMilli(f.saved.document.WrittenAt))
 	comes := slices.ContainsFunc(updates, func(w quarantine.Update) bool { return w.Seen < saveAgainAfter })
@@ -210,7 +210,7 @@
 // saveOnce writes the saved object on condition that nobody else has. What came of it is
 // taken in; a write without an answer may still be done, which the watch then reports.
 func (f *Follower) saveOnce(ctx context.Context, object SavedObject) error {
-	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.SilentAfter)
+	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 	defer cancel()
 	now, err := f.options.Source.Save(ctx, object)
 	result := callAnswered
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -77,7 +77,7 @@
 		body, to := f.updatesSince(parsePositions(args.FatalAt))
 		reply.Fatal, reply.FatalAt = body, to.reply()
 	}
-	if id, age := f.fresh.Reader(now); age < f.options.Timing.SilentAfter {
+	if id, age := f.fresh.Reader(now); age < f.options.Timing.StaleAfter {
 		reply.Reader, reply.ReaderAge = id, age
 	}
 	if args.Digest {
@@ -91,7 +91,7 @@
 func (f *Follower) addUpdate(args UpdateArgs, reply *UpdateReply) error {
 	reply.Delta = f.catalog.Since(args.At)
 	if reply.Delta.Whole {
-		if reply.Busy = !f.wholes.Allow(); reply.Busy {
+		if reply.Busy = !f.fullDeltas.Allow(); reply.Busy {
 			reply.Delta = catalog.Delta{To: reply.Delta.To}
 			return nil
 		}
@@ -114,7 +114,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	f.asked = now
+	f.lastAskedAt = now
 	f.meet(now, args.Members, f.view.Called)
 	f.noteTries(now, args.Tries)
 	f.mergeUpdates(args.Fatal, args.From.ID)
--- a/internal/gateway/discovery/serve_test.go
+++ b/internal/gateway/discovery/serve_test.go
@@ -13,7 +13,7 @@
 func TestAWaitingQuestionIsAnsweredOnceOldNewsCanBeConfirmed(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	f := New(Options{Self: member.Box{ID: "self"}, Clock: func() time.Time { return now }, Timing: Timing{SilentAfter: time.Second}})
+	f := New(Options{Self: member.Box{ID: "self"}, Clock: func() time.Time { return now }, Timing: Timing{StaleAfter: time.Second}})
 	f.confirm(now, "reader")
 	asked := now
 	fresh := UpdateArgs{At: f.catalog.Position(), Age: 100 * time.Millisecond}
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -44,7 +44,7 @@
 
 // staleRead reads the store's older copy and says whether it saw anything.
 func (f *Follower) staleRead(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.SilentAfter)
+	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 	defer cancel()
 	seen, err := f.options.Source.StaleRead(ctx)
 	if err != nil {
--- a/internal/gateway/discovery/updates.go
+++ b/internal/gateway/discovery/updates.go
@@ -64,7 +64,7 @@
 
 // withAllKinds are the positions of a gateway that is sent all kinds.
 func (f *Follower) withAllKinds(at positions) positions {
-	updates := make([]string, len(f.options.Updates))
+	updates := make([]string, len(f.options.UpdateKinds))
 	copy(updates, at.updates)
 	return positions{fatal: at.fatal, updates: updates}
 }
@@ -108,7 +108,7 @@
 
 // kindsFor are the kinds of updates that a gateway is sent.
 func (f *Follower) kindsFor(at positions) []UpdateKind {
-	return f.options.Updates[:min(len(f.options.Updates), len(at.updates))]
+	return f.options.UpdateKinds[:min(len(f.options.UpdateKinds), len(at.updates))]
 }
 
 // updatesSince is what changed since a position as a message holds it, and how far that comes.
@@ -156,7 +156,7 @@
 	in := bytes.NewReader(message)
 	decoder := gob.NewDecoder(in)
 	err := decoder.Decode(&updates)
-	for err == nil && in.Len() > 0 && len(bodies) < len(f.options.Updates) {
+	for err == nil && in.Len() > 0 && len(bodies) < len(f.options.UpdateKinds) {
 		var body []byte
 		err = decoder.Decode(&body)
 		bodies = append(bodies, body)
@@ -172,7 +172,7 @@
 	updates, bodies := f.decodeUpdates(message, from)
 	f.mergeFatal(updates, from)
 	for i, body := range bodies {
-		if f.options.Updates[i].Merge(body, from) {
+		if f.options.UpdateKinds[i].Merge(body, from) {
 			f.wake() // others have to learn of it
 		}
 	}
--- a/internal/gateway/discovery/wake_test.go
+++ b/internal/gateway/discovery/wake_test.go
@@ -21,18 +21,18 @@
 	for _, slept := range []time.Duration{100 * time.Millisecond, 3 * time.Second, time.Minute} {
 		for _, reads := range []bool{true, false} {
 			measure(t, 12, 2, func(g *WithT, fleet *bigFleet) {
-				i := slices.IndexFunc(fleet.gateways, func(gw *gateway) bool { return gw.Reads() == reads })
+				i := slices.IndexFunc(fleet.gateways, func(gw *gateway) bool { return gw.ReadsStore() == reads })
 				sleeper := fleet.gateways[i]
 				for range 2 {
 					sleeper.sleep(slept)
 					g.Expect(sleeper.Age()).To(BeNumerically(">=", slept), "it knows how old that is")
 				}
-				g.Expect(sleeper.Reads()).To(Equal(reads && slept < time.Second), "a watch that began before may be cut")
+				g.Expect(sleeper.ReadsStore()).To(Equal(reads && slept < time.Second), "a watch that began before may be cut")
 				fleet.store.setConfig(2)
 				took := fleet.untilAll(fleet.gateways, 2)
-				g.Expect(took).To(BeNumerically("<", fleetTiming.LastAfter), "reads %v, slept %v", reads, slept)
+				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter), "reads %v, slept %v", reads, slept)
 				time.Sleep(3 * time.Second)
-				g.Expect(sleeper.Age()).To(BeNumerically("<", fleetTiming.SilentAfter))
+				g.Expect(sleeper.Age()).To(BeNumerically("<", fleetTiming.StaleAfter))
 				fleet.t.Logf("in force everywhere after %v", took)
 			})
 		}
