--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -158,7 +158,7 @@
 	packedConfig  packedConfig
 	packedTargets packedTargets
 	// neighbourIDs are the ids of the gateways that have a place, "" for none.
-	neighbourIDs [neighbours]string
+	neighbourIDs [neighbourCount]string
 	// seedIndex counts the seeds that were tried.
 	seedIndex int
 	// firstPeerAt is when the first other gateway was found; zero before.
@@ -262,7 +262,7 @@
 	if f.options.Source.Saved != nil {
 		duties = append(duties, f.readSaved, f.save)
 	}
-	for place := range neighbours {
+	for place := range neighbourCount {
 		duties = append(duties, func(ctx context.Context) error { return f.follow(ctx, place) })
 	}
 	return duties
--- a/internal/gateway/discovery/fetch.go
+++ b/internal/gateway/discovery/fetch.go
@@ -77,7 +77,7 @@
 		f.mu.Lock()
 		f.noteOffer(f.options.Clock(), o) // behind those of others
 		f.mu.Unlock()
-		pause.For(ctx, f.about(busyPause))
+		pause.For(ctx, f.jittered(busyPause))
 	}
 }
 
--- a/internal/gateway/discovery/heal.go
+++ b/internal/gateway/discovery/heal.go
@@ -20,7 +20,7 @@
 
 // heal is the duty of looking for gateways that were cut off from this one.
 func (f *Follower) heal(ctx context.Context) error {
-	for pause.For(ctx, f.about(healEvery)) {
+	for pause.For(ctx, f.jittered(healEvery)) {
 		peer := f.lostPeer()
 		if peer.Peer == "" {
 			continue
@@ -38,7 +38,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.options.Random() < healSeedShare {
-		return member.Box{Peer: f.takeSeed()}
+		return member.Box{Peer: f.nextSeed()}
 	}
 	box, _ := f.view.Lost(f.options.Clock())
 	return box
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -139,7 +139,7 @@
 		args.At = n.at // what is missing here is asked for already
 	}
 	args.Age = min(args.Age, now.Sub(n.confirmed))
-	if now.Sub(n.swapped) > swapMembersEvery*f.factor(n) {
+	if now.Sub(n.swapped) > swapMembersEvery*f.hallFactor(n) {
 		n.swapped = now
 		args.Members = f.view.Sightings(now, n.peer.Hall)
 	}
--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -37,7 +37,7 @@
 func (f *Follower) isAsked(now time.Time) bool {
 	timing := f.options.Timing
 	asked := !f.lastAskedAt.IsZero() && now.Sub(f.lastAskedAt) < timing.PollWait+timing.PollSlack
-	return asked || f.neighbourIDs != [neighbours]string{}
+	return asked || f.neighbourIDs != [neighbourCount]string{}
 }
 
 // pinged works in how a ping that began at a moment ended. One that failed is
