--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -263,7 +263,7 @@
 		duties = append(duties, f.readSaved, f.save)
 	}
 	for place := range neighbourCount {
-		duties = append(duties, func(ctx context.Context) error { return f.follow(ctx, place) })
+		duties = append(duties, func(ctx context.Context) error { return f.exchangeWithNeighbours(ctx, place) })
 	}
 	return duties
 }
--- a/internal/gateway/discovery/draw.go
+++ b/internal/gateway/discovery/draw.go
@@ -41,11 +41,11 @@
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	f.neighbourIDs[slot] = ""
-	n := &neighbour{place: slot}
+	n := &neighbour{slot: slot}
 	if box, ok := f.view.Neighbour(now, f.neighbourScope(now, slot), f.isNeighbour); ok {
 		f.neighbourIDs[slot] = box.ID
 		n.peer = box
-		n.until = now.Add(f.keepTime(now) * f.hallFactor(n))
+		n.keepUntil = now.Add(f.keepTime(now) * f.hallFactor(n))
 		return n, true
 	}
 	early := now.Sub(f.started) < time.Duration(slot)*seedStagger
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -66,7 +66,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	f.meet(now, reply.Members, f.view.Observe)
+	f.observeSightings(now, reply.Members, f.view.Observe)
 	f.fresh.NoteReader(now.Add(-reply.ReaderAge), reply.Reader)
 	f.noteTries(now, reply.Tries)
 	f.mergeUpdates(reply.Fatal, peer.ID)
--- a/internal/gateway/discovery/export_test.go
+++ b/internal/gateway/discovery/export_test.go
@@ -16,7 +16,7 @@
 func (f *Follower) Meet(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.meet(f.options.Clock(), sightings, f.view.Observe)
+	f.observeSightings(f.options.Clock(), sightings, f.view.Observe)
 }
 
 // DrawNeighbour draws who has a place next.
--- a/internal/gateway/discovery/fetch.go
+++ b/internal/gateway/discovery/fetch.go
@@ -87,7 +87,7 @@
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	lacks := f.catalog.Position().Lacks(o.at)
-	args = f.standing(now)
+	args = f.ownStateArgs(now)
 	args.Digest = !lacks
 	return args, lacks || o.fresher && f.fresh.IsOld(now)
 }
--- a/internal/gateway/discovery/heal.go
+++ b/internal/gateway/discovery/heal.go
@@ -49,7 +49,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	args := f.standing(now)
+	args := f.ownStateArgs(now)
 	args.Digest, args.From = true, f.view.Self()
 	args.Members = f.view.Sightings(now, f.options.Self.Hall)
 	return args
--- a/internal/gateway/discovery/region.go
+++ b/internal/gateway/discovery/region.go
@@ -51,10 +51,10 @@
 // nothing where much may be missing there, or where the configuration could not be packed:
 // it is asked for then. The lock is held.
 func (f *Follower) newsFor(n *neighbour) catalog.Delta {
-	if !f.inOtherRegion(n.peer) || n.at.Targets == 0 {
+	if !f.inOtherRegion(n.peer) || n.position.Targets == 0 {
 		return catalog.Delta{}
 	}
-	news := f.catalog.Since(n.at)
+	news := f.catalog.Since(n.position)
 	if news.Whole {
 		return catalog.Delta{}
 	}
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -115,13 +115,13 @@
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	f.lastAskedAt = now
-	f.meet(now, args.Members, f.view.Called)
+	f.observeSightings(now, args.Members, f.view.Called)
 	f.noteTries(now, args.Tries)
 	f.mergeUpdates(args.Fatal, args.From.ID)
 	if args.From.ID == "" {
 		return
 	}
-	f.greet(now, args.From, f.view.Called)
+	f.observePeer(now, args.From, f.view.Called)
 	told := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().Lacks(args.At)}
 	if !told.fresher || f.fresh.Age(now) > args.Age {
 		f.noteOffer(now, told)
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -19,7 +19,7 @@
 			}
 			continue
 		}
-		if f.staleRead(ctx) || !f.idle(ctx, quietPause) {
+		if f.staleRead(ctx) || !f.idle(ctx, noPeerPause) {
 			return nil
 		}
 	}
