--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -27,7 +27,7 @@
 	defer timer.Stop()
 	select {
 	case <-call.Done:
-		return f.answered(peer, call, asked)
+		return f.handleReply(peer, call, asked)
 	case <-timer.C:
 		return nil, errNoAnswer
 	case <-ctx.Done():
@@ -35,28 +35,28 @@
 	}
 }
 
-// answered works the answer to a question in that was asked at a moment.
-func (f *Follower) answered(peer member.Box, call *rpc.Call, asked time.Time) (*UpdateReply, error) {
+// handleReply works the answer to a question in that was asked at a moment.
+func (f *Follower) handleReply(peer member.Box, call *rpc.Call, asked time.Time) (*UpdateReply, error) {
 	if call.Error != nil {
 		return nil, call.Error
 	}
 	reply := call.Reply.(*UpdateReply)
-	onTheWay := max(0, f.options.Clock().Sub(asked)-reply.Held)
-	reply.Age, reply.ReaderAge = older(reply.Age, onTheWay), older(reply.ReaderAge, onTheWay)
-	f.options.ObserveLimits(reply.LimitsFor - onTheWay)
-	return reply, f.take(peer, reply)
+	inTransit := max(0, f.options.Clock().Sub(asked)-reply.Held)
+	reply.Age, reply.ReaderAge = agedBy(reply.Age, inTransit), agedBy(reply.ReaderAge, inTransit)
+	f.options.ObserveLimits(reply.LimitsFor - inTransit)
+	return reply, f.applyReply(peer, reply)
 }
 
-// older is the age, some time later, of what had an age.
-func older(age, later time.Duration) time.Duration {
+// agedBy is the age, some time later, of what had an age.
+func agedBy(age, later time.Duration) time.Duration {
 	if age == freshness.Never {
 		return age
 	}
 	return age + later
 }
 
-// take works an answer in. What it only says to be missing here is asked for.
-func (f *Follower) take(peer member.Box, reply *UpdateReply) error {
+// applyReply works an answer in. What it only says to be missing here is asked for.
+func (f *Follower) applyReply(peer member.Box, reply *UpdateReply) error {
 	if err := reply.unpack(); err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	f.fresh.NoteReader(now.Add(-reply.ReaderAge), reply.Reader)
 	f.noteTries(now, reply.Tries)
 	f.mergeUpdates(reply.Fatal, peer.ID)
-	f.compare(now, peer, reply)
+	f.comparePosition(now, peer, reply)
 	return nil
 }
 
@@ -91,10 +91,10 @@
 	return err
 }
 
-// compare holds another gateway's position against the own: what that one says of its
+// comparePosition holds another gateway's position against the own: what that one says of its
 // age holds here, too, unless something is missing, which is asked for. The lock is
 // held.
-func (f *Follower) compare(now time.Time, peer member.Box, reply *UpdateReply) {
+func (f *Follower) comparePosition(now time.Time, peer member.Box, reply *UpdateReply) {
 	theirs := reply.Delta.To
 	if f.catalog.Position().Lacks(theirs) {
 		f.noteOffer(now, offer{peer: peer, at: theirs})
@@ -127,14 +127,14 @@
 // noteTries takes in which tries to read the store another gateway knows of; the lock is
 // held.
 func (f *Follower) noteTries(now time.Time, tries []reader.Try) {
-	news := false
+	changed := false
 	for _, try := range tries {
-		news = f.tries.Note(now, try) || news
+		changed = f.tries.Note(now, try) || changed
 		if try.Failed {
 			f.fresh.NoteFailed(now.Add(-try.Ago))
 		}
 	}
-	if news {
+	if changed {
 		f.wake() // others have to learn of it, and the reading may no longer fall to this one
 	}
 }
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -116,7 +116,7 @@
 		changed := f.push(l, n, wait > 0)
 		select {
 		case <-call.Done:
-			return f.answered(n.peer, call, asked)
+			return f.handleReply(n.peer, call, asked)
 		case <-timer.C:
 			return nil, errNoAnswer
 		case <-ctx.Done():
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -156,7 +156,7 @@
 func (f *Follower) nextLook(args UpdateArgs, asked time.Time) time.Duration {
 	waited := f.options.Clock().Sub(asked)
 	left := args.Wait - waited
-	if untilOld := f.fresh.UntilOld(older(args.Age, waited)); untilOld > 0 {
+	if untilOld := f.fresh.UntilOld(agedBy(args.Age, waited)); untilOld > 0 {
 		return min(left, untilOld+time.Millisecond)
 	}
 	return min(left, oldLookEvery)
@@ -179,7 +179,7 @@
 func (f *Follower) hasAnswer(args UpdateArgs, asked time.Time) bool {
 	now := f.options.Clock()
 	ahead := args.lacks(f.catalog.Position())
-	confirms := f.fresh.Confirms(now, older(args.Age, now.Sub(asked)))
+	confirms := f.fresh.Confirms(now, agedBy(args.Age, now.Sub(asked)))
 	tries := f.tries.Lacking(now, args.Tries)
 	updates := args.AsksFatal && f.lacksUpdates(parsePositions(args.FatalAt))
 	return ahead || confirms || tries || updates || f.view.Self().Leaving
