--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -133,7 +133,7 @@
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	args := f.ownStateArgs(now)
-	args.Wait, args.Digest = wait, !f.asksInFull(n.peer)
+	args.Wait, args.Digest = wait, !f.requestsDelta(n.peer)
 	args.AsksFatal, args.FatalAt = true, f.withAllKinds(n.receivedUpdates).String()
 	if args.Digest && args.At.Lacks(n.position) {
 		args.At = n.position // what is missing here is asked for already
@@ -163,7 +163,7 @@
 	args := f.ownStateArgs(now)
 	args.Digest, args.From = true, f.view.Self()
 	if worth {
-		args.News, args.Base = f.newsFor(n), n.position
+		args.News, args.Base = f.deltaFor(n), n.position
 		n.position, n.confirmedAt = args.At, now.Add(-min(args.Age, neverConfirmedAge))
 		n.sentTriesVersion, n.sentLeaving = f.tries.Version(), args.From.Leaving
 		args.Fatal, n.sentUpdates = f.updatesSince(f.withAllKinds(n.sentUpdates))
--- a/internal/gateway/discovery/region.go
+++ b/internal/gateway/discovery/region.go
@@ -39,18 +39,18 @@
 	return f.options.Timing.PollSlack / dialPart
 }
 
-// asksInFull says whether a question to a neighbour asks for what is missing here, and
+// requestsDelta says whether a question to a neighbour asks for what is missing here, and
 // not only whether there is any: from another region an update then comes two ways
 // sooner. Each neighbour there sends it, so this is done only where little can be missing.
 // The lock is held.
-func (f *Follower) asksInFull(peer member.Box) bool {
+func (f *Follower) requestsDelta(peer member.Box) bool {
 	return peer.ID != "" && f.inOtherRegion(peer) && f.isInitialized()
 }
 
-// newsFor is what is sent to a neighbour in another region beside this gateway's position;
+// deltaFor is what is sent to a neighbour in another region beside this gateway's position;
 // nothing where much may be missing there, or where the configuration could not be packed:
 // it is asked for then. The lock is held.
-func (f *Follower) newsFor(n *neighbour) catalog.Delta {
+func (f *Follower) deltaFor(n *neighbour) catalog.Delta {
 	if !f.inOtherRegion(n.peer) || n.position.Targets == 0 {
 		return catalog.Delta{}
 	}
@@ -69,9 +69,9 @@
 	return news
 }
 
-// takeNews takes in what a caller sent beside its position, unless something that comes
+// applyPushedDelta takes in what a caller sent beside its position, unless something that comes
 // before it is missing here: calls on one connection may overtake each other.
-func (f *Follower) takeNews(args UpdateArgs) error {
+func (f *Follower) applyPushedDelta(args UpdateArgs) error {
 	news := args.News
 	if news.IsEmpty() {
 		return nil
--- a/internal/gateway/discovery/region_test.go
+++ b/internal/gateway/discovery/region_test.go
@@ -43,7 +43,7 @@
 			return catalog.Changed{Targets: c.Advance(revision, madeOf(revision, id))}
 		})
 		n := &neighbour{peer: member.Box{ID: "far", Hall: "c"}, position: base}
-		return UpdateArgs{At: other.position(), News: other.newsFor(n), Base: base, From: n.peer}
+		return UpdateArgs{At: other.position(), News: other.deltaFor(n), Base: base, From: n.peer}
 	}
 	first := tell(5, "t2", before)
 	second := tell(6, "t3", first.At)
@@ -67,10 +67,10 @@
 		return catalog.Changed{Config: c.SetConfig(2, []byte("two"))}
 	})
 	far, near := member.Box{ID: "far", Hall: "c"}, member.Box{ID: "near", Hall: "b"}
-	g.Expect(f.newsFor(&neighbour{peer: near, position: behind}).IsEmpty()).To(BeTrue())
-	g.Expect(f.newsFor(&neighbour{peer: far}).IsEmpty()).To(BeTrue(), "one that knows nothing asks for all")
-	g.Expect(f.newsFor(&neighbour{peer: far, position: f.position()}).IsEmpty()).To(BeTrue())
-	news := f.newsFor(&neighbour{peer: far, position: behind})
+	g.Expect(f.deltaFor(&neighbour{peer: near, position: behind}).IsEmpty()).To(BeTrue())
+	g.Expect(f.deltaFor(&neighbour{peer: far}).IsEmpty()).To(BeTrue(), "one that knows nothing asks for all")
+	g.Expect(f.deltaFor(&neighbour{peer: far, position: f.position()}).IsEmpty()).To(BeTrue())
+	news := f.deltaFor(&neighbour{peer: far, position: behind})
 	body, err := inflate(news.Config)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(body)).To(Equal("two"))
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -54,7 +54,7 @@
 
 func (f *Follower) answer(args UpdateArgs, reply *UpdateReply) error {
 	asked := f.options.Clock()
-	if err := f.takeNews(args); err != nil {
+	if err := f.applyPushedDelta(args); err != nil {
 		return err
 	}
 	f.noteAsked(args)
