--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -200,7 +200,7 @@
 	f := &Follower{
 		options: o, started: o.Clock(), catalog: catalog.New(), versions: rollout.NewVersions(), fresh: freshness.New(o.Timing.freshness(), peers.Before),
 		view: peers.New(o.Self, func(n int) int { return int(o.Random() * float64(n)) }), readerDraw: o.Random(),
-		changed: make(chan struct{}), ready: make(chan struct{}), offers: make(chan offer, keptOffers), otherRegionOffers: make(chan offer, keptOffers),
+		changed: make(chan struct{}), ready: make(chan struct{}), offers: make(chan offer, offerQueueSize), otherRegionOffers: make(chan offer, offerQueueSize),
 		announced: make([]announced, len(o.UpdateKinds)), announceRequests: make(chan struct{}, 1),
 		links: newLinks(o.Dial, o.Clock), fullDeltas: rate.NewLimiter(rate.Every(wholeEvery), wholesAtOnce),
 	}
--- a/internal/gateway/discovery/fetch.go
+++ b/internal/gateway/discovery/fetch.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// keptOffers is how many offers wait to be taken up: some more than a gateway has
+	// offerQueueSize is how many offers wait to be taken up: some more than a gateway has
 	// neighbours on either side. Another is dropped; it comes again.
-	keptOffers = 8
+	offerQueueSize = 8
 	// busyPause is the wait, on average, before a gateway that was busy is asked again.
 	// The time for which one is busy with a list of all targets.
 	busyPause = 15 * time.Millisecond
@@ -58,14 +58,14 @@
 		case <-ctx.Done():
 			return nil
 		case o := <-offers:
-			f.takeUp(ctx, o)
+			f.fetchOffer(ctx, o)
 		}
 	}
 }
 
-// takeUp asks a gateway for what it offered, unless it is no longer missing.
-func (f *Follower) takeUp(ctx context.Context, o offer) {
-	args, worth := f.isWorthAsking(o)
+// fetchOffer asks a gateway for what it offered, unless it is no longer missing.
+func (f *Follower) fetchOffer(ctx context.Context, o offer) {
+	args, worth := f.fetchArgs(o)
 	if !worth {
 		return
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// isWorthAsking says whether an offer is still worth taking up, and how to ask for it.
-func (f *Follower) isWorthAsking(o offer) (args UpdateArgs, worth bool) {
+// fetchArgs says whether an offer is still worth taking up, and how to ask for it.
+func (f *Follower) fetchArgs(o offer) (args UpdateArgs, worth bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
