--- a/internal/gateway/discovery/heal.go
+++ b/internal/gateway/discovery/heal.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// healEvery is how often, on average, a gateway is asked that did not answer and
+	// healInterval is how often, on average, a gateway is asked that did not answer and
 	// that nobody has seen since.
-	healEvery = 2 * time.Second
+	healInterval = 2 * time.Second
 	// healSeedShare is how often a seed is asked instead: a cut that lasted longer than
 	// what is remembered heals by them. Of a hundred gateways one asks each
 	// second.
@@ -20,13 +20,13 @@
 
 // heal is the duty of looking for gateways that were cut off from this one.
 func (f *Follower) heal(ctx context.Context) error {
-	for pause.For(ctx, f.jittered(healEvery)) {
+	for pause.For(ctx, f.jittered(healInterval)) {
 		peer := f.lostPeer()
 		if peer.Peer == "" {
 			continue
 		}
 		// One that is still gone is no news: it was lost before.
-		if _, err := f.askOnce(ctx, peer, f.greeting()); err != nil {
+		if _, err := f.askOnce(ctx, peer, f.memberSwapArgs()); err != nil {
 			f.options.Log.Debug("peer still silent", "address", peer.Peer, "error", err.Error())
 		}
 	}
@@ -44,8 +44,8 @@
 	return box
 }
 
-// greeting swaps members and reports how far this gateway is.
-func (f *Follower) greeting() UpdateArgs {
+// memberSwapArgs swaps members and reports how far this gateway is.
+func (f *Follower) memberSwapArgs() UpdateArgs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
