--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -13,20 +13,20 @@
 func (f *Follower) ping(ctx context.Context) error {
 	for pause.For(ctx, f.options.Timing.PingInterval) {
 		began := f.options.Clock()
-		if !f.isRelied(began) {
+		if !f.hasDependents(began) {
 			continue
 		}
 		pingCtx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 		err := f.options.Source.Ping(pingCtx)
 		cancel()
-		f.pinged(began, err)
+		f.recordPing(began, err)
 	}
 	return nil
 }
 
-// isRelied says whether this gateway's watches are in order and others ask for
+// hasDependents says whether this gateway's watches are in order and others ask for
 // what they report.
-func (f *Follower) isRelied(now time.Time) bool {
+func (f *Follower) hasDependents(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh.Reads(now) && f.isAsked(now)
@@ -40,9 +40,9 @@
 	return asked || f.neighbourIDs != [neighbourCount]string{}
 }
 
-// pinged works in how a ping that began at a moment ended. One that failed is
+// recordPing works in how a ping that began at a moment ended. One that failed is
 // counted and no more: the watches find out whether the store is lost.
-func (f *Follower) pinged(began time.Time, err error) {
+func (f *Follower) recordPing(began time.Time, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
