--- a/internal/gateway/discovery/calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -34,7 +34,7 @@
 	if whole || from == 0 {
 		return f.options.Source.Config(ctx)
 	}
-	return f.options.Source.WatchConfig(ctx, from, f.waitFor(f.fresh.Config()))
+	return f.options.Source.WatchConfig(ctx, from, f.watchWait(f.fresh.Config()))
 }
 
 // callTargets makes one call for the targets.
@@ -60,7 +60,7 @@
 			return catalog.Changed{Targets: c.Replace(list.Revision, ownTargets(list.Items))}
 		}, err
 	}
-	changes, err := f.options.Source.WatchTargets(ctx, from, f.waitFor(f.fresh.Targets()))
+	changes, err := f.options.Source.WatchTargets(ctx, from, f.watchWait(f.fresh.Targets()))
 	return func(c *catalog.Catalog) catalog.Changed {
 		return catalog.Changed{Targets: c.Advance(changes.Revision, ownChanges(changes.Items, catalog.ReportStarts(c.Targets())))}
 	}, err
@@ -109,7 +109,7 @@
 			return catalog.Changed{Evacuations: c.ReplaceEvacuations(list.Revision, list.Items)}
 		}, err
 	}
-	changes, err := f.options.Source.WatchEvacuations(ctx, from, f.waitFor(f.fresh.Evacuations()))
+	changes, err := f.options.Source.WatchEvacuations(ctx, from, f.watchWait(f.fresh.Evacuations()))
 	return func(c *catalog.Catalog) catalog.Changed {
 		return catalog.Changed{Evacuations: c.AdvanceEvacuations(changes.Revision, changes.Items)}
 	}, err
@@ -136,7 +136,7 @@
 			return catalog.Changed{Rollouts: c.ReplaceRollouts(list.Revision, list.Items)}
 		}, err
 	}
-	changes, err := f.options.Source.WatchRollouts(ctx, from, f.waitFor(f.fresh.Rollouts()))
+	changes, err := f.options.Source.WatchRollouts(ctx, from, f.watchWait(f.fresh.Rollouts()))
 	return func(c *catalog.Catalog) catalog.Changed {
 		return catalog.Changed{Rollouts: c.AdvanceRollouts(changes.Revision, changes.Items)}
 	}, err
@@ -173,7 +173,7 @@
 // configuration fails; the lock is held.
 func (f *Follower) untilConfigAnswers(time.Time) time.Duration {
 	if f.fresh.Config().Failing() {
-		return maxLook
+		return maxRoleCheckInterval
 	}
 	return 0
 }
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -52,7 +52,7 @@
 	for ctx.Err() == nil {
 		n, ok := f.drawNeighbour(slot)
 		if !ok {
-			f.idle(ctx, noPeerPause)
+			f.waitForChange(ctx, noPeerPause)
 			continue
 		}
 		if !f.exchangeUntilReplaced(ctx, n) && !pause.For(ctx, noPeerPause) {
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// minLook and maxLook bound the time between two looks at whether the reading
+	// minRoleCheckInterval and maxLook bound the time between two looks at whether the reading
 	// has fallen to this gateway.
-	minLook = 20 * time.Millisecond
-	maxLook = time.Second
-	// firstRetry is the first pause after a call that failed, and preferredRetry
+	minRoleCheckInterval = 20 * time.Millisecond
+	maxRoleCheckInterval = time.Second
+	// initialRetry is the first pause after a call that failed, and preferredRetry
 	// and otherRetry the longest, for gateways that others turn to first and for
 	// others. The store's rates bound what a whole fleet may try.
-	firstRetry     = 100 * time.Millisecond
-	preferredRetry = time.Second
-	otherRetry     = 2 * time.Second
-	// firstWait is how long the first watch waits: hardly at all, so that what is
+	initialRetry      = 100 * time.Millisecond
+	maxPreferredRetry = time.Second
+	maxOtherRetry     = 2 * time.Second
+	// firstWatchWait is how long the first watch waits: hardly at all, so that what is
 	// believed is confirmed at once.
-	firstWait = time.Millisecond
+	firstWatchWait = time.Millisecond
 	// minWaitShare is the least share of its longest time that a watch waits: the
 	// waits vary, so that the watches of gateways don't end together.
 	minWaitShare = 0.8
@@ -36,9 +36,9 @@
 type watch struct {
 	name  string
 	state *freshness.Watch
-	// until is how long no call should be made though the reading falls to this
+	// delay is how long no call should be made though the reading falls to this
 	// gateway; the lock is held.
-	until func(now time.Time) time.Duration
+	delay func(now time.Time) time.Duration
 	// call makes one call; whole asks for a list and not a watch.
 	call func(ctx context.Context, whole bool) error
 	// urgent says that its changes are few and waited for: the next call follows at once,
@@ -48,41 +48,41 @@
 
 // readConfig is the duty of watching the configuration in the store.
 func (f *Follower) readConfig(ctx context.Context) error {
-	return f.read(ctx, &watch{
+	return f.runWatch(ctx, &watch{
 		name: "config", state: f.fresh.Config(), call: f.callConfig,
-		until: func(time.Time) time.Duration { return 0 },
+		delay: func(time.Time) time.Duration { return 0 },
 	})
 }
 
 // readTargets is the duty of watching the targets in the store.
 func (f *Follower) readTargets(ctx context.Context) error {
-	return f.read(ctx, &watch{name: "targets", state: f.fresh.Targets(), call: f.callTargets, until: f.untilTargets})
+	return f.runWatch(ctx, &watch{name: "targets", state: f.fresh.Targets(), call: f.callTargets, delay: f.untilTargets})
 }
 
 // readEvacuations is the duty of watching the evacuations in the store.
 func (f *Follower) readEvacuations(ctx context.Context) error {
-	return f.read(ctx, &watch{name: "evacuations", state: f.fresh.Evacuations(), call: f.callEvacuations, until: f.untilConfigAnswers})
+	return f.runWatch(ctx, &watch{name: "evacuations", state: f.fresh.Evacuations(), call: f.callEvacuations, delay: f.untilConfigAnswers})
 }
 
 // readRollouts is the duty of watching the rollouts in the store.
 func (f *Follower) readRollouts(ctx context.Context) error {
-	return f.read(ctx, &watch{name: "rollouts", state: f.fresh.Rollouts(), call: f.callRollouts, until: f.untilConfigAnswers, urgent: true})
+	return f.runWatch(ctx, &watch{name: "rollouts", state: f.fresh.Rollouts(), call: f.callRollouts, delay: f.untilConfigAnswers, urgent: true})
 }
 
-// read makes the calls of a watch while the reading falls to this gateway.
-func (f *Follower) read(ctx context.Context, w *watch) error {
+// runWatch makes the calls of a watch while the reading falls to this gateway.
+func (f *Follower) runWatch(ctx context.Context, w *watch) error {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = firstRetry
+	retry.InitialInterval = initialRetry
 	whole := false
 	for ctx.Err() == nil {
 		if wait := f.takeRole(w); wait > 0 {
-			if !f.idle(ctx, wait) {
+			if !f.waitForChange(ctx, wait) {
 				return nil
 			}
 			continue
 		}
 		before := f.position()
-		err := f.reach(ctx, w, whole)
+		err := f.callStore(ctx, w, whole)
 		whole = errors.Is(err, ErrGone)
 		changed := f.position() != before
 		if wait := f.untilNextCall(err, changed && !w.urgent, retry); wait > 0 && !pause.For(ctx, wait) {
@@ -99,39 +99,39 @@
 	switch {
 	case err == nil && gathers:
 		retry.Reset()
-		return f.batch()
+		return f.batchDelay()
 	case err == nil:
 		retry.Reset()
 		return 0
 	case errors.Is(err, ErrGone), errors.Is(err, errRestoring):
 		return 0
 	default:
-		retry.MaxInterval = f.longestRetry()
+		retry.MaxInterval = f.maxRetry()
 		return retry.NextBackOff()
 	}
 }
 
-// reach makes one call of a watch. After one that failed it pings first: that
+// callStore makes one call of a watch. After one that failed it pings first: that
 // costs less while the store stays away.
-func (f *Follower) reach(ctx context.Context, w *watch, whole bool) error {
+func (f *Follower) callStore(ctx context.Context, w *watch, whole bool) error {
 	timing := f.options.Timing
-	if failedBefore := f.begin(w); failedBefore {
+	if failedBefore := f.beginCall(w); failedBefore {
 		pingCtx, cancel := context.WithTimeout(ctx, timing.StaleAfter)
 		defer cancel()
 		if err := f.options.Source.Ping(pingCtx); err != nil {
-			f.end(w, err)
+			f.endCall(w, err)
 			return err
 		}
 	}
 	callCtx, cancel := context.WithTimeout(ctx, timing.WatchWait+timing.WatchSlack)
 	defer cancel()
 	err := w.call(callCtx, whole)
-	f.end(w, err)
+	f.endCall(w, err)
 	return err
 }
 
-// begin notes that a call begins and says whether the one before it failed.
-func (f *Follower) begin(w *watch) (failedBefore bool) {
+// beginCall notes that a call begins and says whether the one before it failed.
+func (f *Follower) beginCall(w *watch) (failedBefore bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -153,8 +153,8 @@
 	callFailed    = "failed"
 )
 
-// end works in how a call of a watch ended.
-func (f *Follower) end(w *watch, err error) {
+// endCall works in how a call of a watch ended.
+func (f *Follower) endCall(w *watch, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.state.End()
@@ -200,9 +200,9 @@
 	return err.Error()
 }
 
-// batch is the pause after an update from the store. Where no other gateway asks
+// batchDelay is the pause after an update from the store. Where no other gateway asks
 // for them, nothing is lost on their way, and more may gather.
-func (f *Follower) batch() time.Duration {
+func (f *Follower) batchDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isAsked(f.options.Clock()) {
@@ -211,23 +211,23 @@
 	return f.options.Timing.SoloBatchDelay
 }
 
-// longestRetry is the longest pause between two calls while the store fails.
-func (f *Follower) longestRetry() time.Duration {
+// maxRetry is the longest pause between two calls while the store fails.
+func (f *Follower) maxRetry() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if reader.IsPreferred(f.rank(f.options.Clock())) {
-		return preferredRetry
+		return maxPreferredRetry
 	}
-	return otherRetry
+	return maxOtherRetry
 }
 
-// idle waits until the reading may fall to this gateway: after a time, or when
+// waitForChange waits until the reading may fall to this gateway: after a time, or when
 // something changes.
-func (f *Follower) idle(ctx context.Context, wait time.Duration) bool {
+func (f *Follower) waitForChange(ctx context.Context, wait time.Duration) bool {
 	f.mu.Lock()
 	changed := f.changed
 	f.mu.Unlock()
-	timer := time.NewTimer(min(max(wait, minLook), maxLook))
+	timer := time.NewTimer(min(max(wait, minRoleCheckInterval), maxRoleCheckInterval))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -238,12 +238,12 @@
 	return true
 }
 
-// waitFor is how long the next call of a watch waits for changes.
-func (f *Follower) waitFor(state *freshness.Watch) time.Duration {
+// watchWait is how long the next call of a watch waits for changes.
+func (f *Follower) watchWait(state *freshness.Watch) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !state.InStep() {
-		return firstWait
+		return firstWatchWait
 	}
 	share := minWaitShare + (1-minWaitShare)*rand.Float64()
 	return time.Duration(share * float64(f.options.Timing.WatchWait))
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -20,7 +20,7 @@
 		w.state.Rest()
 		return wait
 	}
-	return w.until(now)
+	return w.delay(now)
 }
 
 // setReads notes whether the reading falls to this gateway and logs a change; the
--- a/internal/gateway/discovery/saved.go
+++ b/internal/gateway/discovery/saved.go
@@ -54,14 +54,14 @@
 // gateway.
 func (f *Follower) readSaved(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = firstRetry
-	retry.MaxInterval = otherRetry
+	retry.InitialInterval = initialRetry
+	retry.MaxInterval = maxOtherRetry
 	at := uint64(0)
 	for ctx.Err() == nil {
 		if !f.ReadsStore() {
 			at = 0
 			f.forgetSaved()
-			if !f.idle(ctx, maxLook) {
+			if !f.waitForChange(ctx, maxRoleCheckInterval) {
 				return nil
 			}
 			continue
@@ -160,12 +160,12 @@
 // save is the duty of saving what is quarantined, while the reading falls to this gateway.
 func (f *Follower) save(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = firstRetry
-	retry.MaxInterval = otherRetry
+	retry.InitialInterval = initialRetry
+	retry.MaxInterval = maxOtherRetry
 	for ctx.Err() == nil {
 		object, worth := f.isWorthSaving()
 		if !worth {
-			if !f.idle(ctx, maxLook) {
+			if !f.waitForChange(ctx, maxRoleCheckInterval) {
 				return nil
 			}
 			continue
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -14,12 +14,12 @@
 func (f *Follower) start(ctx context.Context) error {
 	for !f.options.FirstStart && !f.hasBegun() {
 		if wait := f.untilStaleRead(); wait > 0 {
-			if !f.idle(ctx, wait) {
+			if !f.waitForChange(ctx, wait) {
 				return nil
 			}
 			continue
 		}
-		if f.staleRead(ctx) || !f.idle(ctx, noPeerPause) {
+		if f.staleRead(ctx) || !f.waitForChange(ctx, noPeerPause) {
 			return nil
 		}
 	}
