--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -75,7 +75,7 @@
 	retry.InitialInterval = initialRetry
 	whole := false
 	for ctx.Err() == nil {
-		if wait := f.takeRole(w); wait > 0 {
+		if wait := f.updateRole(w); wait > 0 {
 			if !f.waitForChange(ctx, wait) {
 				return nil
 			}
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -7,15 +7,15 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-// takeRole works out whether the reading of the store falls to this gateway,
+// updateRole works out whether the reading of the store falls to this gateway,
 // takes it up or lays it down, and returns how long no call of a watch need be
 // made; 0 or less if one should be made now.
-func (f *Follower) takeRole(w *watch) time.Duration {
+func (f *Follower) updateRole(w *watch) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	wait := f.untilReading(now)
-	f.setReads(wait <= 0)
+	f.setReader(wait <= 0)
 	if wait > 0 {
 		w.state.Rest()
 		return wait
@@ -23,9 +23,9 @@
 	return w.delay(now)
 }
 
-// setReads notes whether the reading falls to this gateway and logs a change; the
+// setReader notes whether the reading falls to this gateway and logs a change; the
 // lock is held.
-func (f *Follower) setReads(reads bool) {
+func (f *Follower) setReader(reads bool) {
 	if reads == f.isReader {
 		return
 	}
@@ -50,15 +50,15 @@
 	return reader.State{
 		Rank: f.rank(now), Draw: f.readerDraw, FirstStart: f.options.FirstStart,
 		Seed: slices.Contains(f.options.Seeds(), self.Peer), Alone: f.view.Alone(now), Running: now.Sub(f.started),
-		InCompany: f.inCompany(now),
+		InCompany: f.peerKnownFor(now),
 		Knows:     f.isInitialized(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.lastOfferAt), Age: f.fresh.Age(now),
 		Reads: f.isReader && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
 		HeldFor: f.tries.HeldFor(now, self.ID), TriedFor: f.tries.TriedFor(now, self.ID),
 	}
 }
 
-// inCompany is how long any other gateway has been known; the lock is held.
-func (f *Follower) inCompany(now time.Time) time.Duration {
+// peerKnownFor is how long any other gateway has been known; the lock is held.
+func (f *Follower) peerKnownFor(now time.Time) time.Duration {
 	if f.firstPeerAt.IsZero() {
 		return 0
 	}
