--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -105,7 +105,7 @@
 		return
 	}
 	f.catalog.CatchUp(theirs)
-	f.noteLife(now, position)
+	f.noteEpoch(now, position)
 	f.publishWaiting(peer.Peer)
 	f.confirm(now.Add(-reply.Age), reply.Origin)
 }
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -38,7 +38,7 @@
 	if changed.Any() || f.withheld {
 		f.publish(from)
 	}
-	f.noteLife(f.options.Clock(), before)
+	f.noteEpoch(f.options.Clock(), before)
 	if f.catalog.Position() != before {
 		f.wake()
 	}
--- a/internal/gateway/discovery/rewind.go
+++ b/internal/gateway/discovery/rewind.go
@@ -22,12 +22,12 @@
 	targets, evacuations, rollouts time.Time
 }
 
-// noteLife notes, and logs, that something is known of a later life of the store than it was
+// noteEpoch notes, and logs, that something is known of a later life of the store than it was
 // at a position; the lock is held.
-func (f *Follower) noteLife(now time.Time, before catalog.Position) {
+func (f *Follower) noteEpoch(now time.Time, before catalog.Position) {
 	after := f.catalog.Position()
 	due := now.Add(time.Duration(rereadFactor * float64(f.options.Timing.RestoreWithin)))
-	came := false
+	rewound := false
 	for _, kind := range []struct {
 		due           *time.Time
 		before, after uint64
@@ -37,10 +37,10 @@
 		{&f.rereads.rollouts, before.Rollouts, after.Rollouts},
 	} {
 		if kind.before > 0 && catalog.StoreLife(kind.after) > catalog.StoreLife(kind.before) {
-			*kind.due, came = due, true
+			*kind.due, rewound = due, true
 		}
 	}
-	if came {
+	if rewound {
 		f.options.Log.Warn("store came back from an older copy", "life", catalog.StoreLife(max(after.Targets, after.Evacuations, after.Rollouts)), "read_again_in_s", due.Sub(now).Seconds())
 	}
 }
