--- a/internal/gateway/discovery/saved.go
+++ b/internal/gateway/discovery/saved.go
@@ -24,13 +24,13 @@
 	// callSaved and callSave are the calls' names in metrics and log lines.
 	callSaved = "saved"
 	callSave  = "save"
-	// savedWatch is how long a watch of the saved object waits. Nothing is confirmed by it,
+	// savedWatchWait is how long a watch of the saved object waits. Nothing is confirmed by it,
 	// so that it need not answer often: some 3 calls in 28 s, where one that waits as long as the
 	// others made 19. It is shorter than the history that stores keep, some 20 s.
-	savedWatch = 15 * time.Second
-	// saveAgainAfter is how old the saved object may grow while its requests go on coming:
+	savedWatchWait = 15 * time.Second
+	// resaveAfter is how old the saved object may grow while its requests go on coming:
 	// some writes before they would lapse by it.
-	saveAgainAfter = 3 * time.Minute
+	resaveAfter = 3 * time.Minute
 )
 
 // saved is the object in the store, as it was last read or written.
@@ -60,7 +60,7 @@
 	for ctx.Err() == nil {
 		if !f.ReadsStore() {
 			at = 0
-			f.forgetSaved()
+			f.resetSaved()
 			if !f.waitForChange(ctx, maxRoleCheckInterval) {
 				return nil
 			}
@@ -87,14 +87,14 @@
 // callSaved makes one call and returns the revision of the store from which the next one
 // watches; at is 0 for the first.
 func (f *Follower) callSaved(ctx context.Context, at uint64) (next uint64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, savedWatch+f.options.Timing.WatchSlack)
+	ctx, cancel := context.WithTimeout(ctx, savedWatchWait+f.options.Timing.WatchSlack)
 	defer cancel()
 	var changes Newest[SavedObject]
 	if at == 0 {
 		changes, err = f.options.Source.Saved(ctx)
 	} else {
 		share := minWaitShare + (1-minWaitShare)*rand.Float64()
-		changes, err = f.options.Source.WatchSaved(ctx, at, time.Duration(share*float64(savedWatch)))
+		changes, err = f.options.Source.WatchSaved(ctx, at, time.Duration(share*float64(savedWatchWait)))
 	}
 	if err != nil && !errors.Is(err, ErrGone) {
 		f.options.Metrics.StoreCall(callSaved, callFailed)
@@ -104,13 +104,13 @@
 	if err != nil {
 		return at, err
 	}
-	f.takeSaved(changes.Latest, at == 0)
+	f.applySaved(changes.Latest, at == 0)
 	return changes.Revision, nil
 }
 
-// takeSaved takes in what the store holds; whole says that it holds nothing where latest is
+// applySaved takes in what the store holds; whole says that it holds nothing where latest is
 // nil, and not that nothing changed. One that can't be read is written anew.
-func (f *Follower) takeSaved(latest *SavedObject, whole bool) {
+func (f *Follower) applySaved(latest *SavedObject, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if latest == nil && !whole {
@@ -143,15 +143,15 @@
 	return updates
 }
 
-// noteUnsaved has the next write create the object: it may be gone, and where it is not,
+// resetSavedRevision has the next write create the object: it may be gone, and where it is not,
 // the store refuses and says so.
-func (f *Follower) noteUnsaved() {
+func (f *Follower) resetSavedRevision() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.saved.revision = 0
 }
 
-func (f *Follower) forgetSaved() {
+func (f *Follower) resetSaved() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.saved = saved{}
@@ -163,7 +163,7 @@
 	retry.InitialInterval = initialRetry
 	retry.MaxInterval = maxOtherRetry
 	for ctx.Err() == nil {
-		object, worth := f.isWorthSaving()
+		object, worth := f.objectToSave()
 		if !worth {
 			if !f.waitForChange(ctx, maxRoleCheckInterval) {
 				return nil
@@ -183,23 +183,23 @@
 	return nil
 }
 
-// isWorthSaving says whether the saved object lacks anything that is quarantined, or
+// objectToSave says whether the saved object lacks anything that is quarantined, or
 // would lapse though its requests go on coming, and makes what replaces it.
-func (f *Follower) isWorthSaving() (object SavedObject, worth bool) {
+func (f *Follower) objectToSave() (object SavedObject, needed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.saved.known || !f.fresh.Reads(f.options.Clock()) {
 		return object, false
 	}
-	updates, prints := f.options.Fatal.QuarantinedUpdates()
+	updates, fingerprints := f.options.Fatal.QuarantinedUpdates()
 	now := f.options.WallClock()
-	lacks := slices.ContainsFunc(prints, func(print string) bool { return !slices.Contains(f.saved.document.Quarantined, print) })
+	lacks := slices.ContainsFunc(fingerprints, func(print string) bool { return !slices.Contains(f.saved.document.Quarantined, print) })
 	age := now.Sub(time.UnixMilli(f.saved.document.WrittenAt))
-	comes := slices.ContainsFunc(updates, func(w quarantine.Update) bool { return w.Seen < saveAgainAfter })
-	if !lacks && (age < saveAgainAfter || !comes) {
+	recurring := slices.ContainsFunc(updates, func(w quarantine.Update) bool { return w.Seen < resaveAfter })
+	if !lacks && (age < resaveAfter || !recurring) {
 		return object, false
 	}
-	body, err := json.Marshal(savedDocument{WrittenAt: now.UnixMilli(), Quarantined: prints, Updates: updates})
+	body, err := json.Marshal(savedDocument{WrittenAt: now.UnixMilli(), Quarantined: fingerprints, Updates: updates})
 	if err != nil {
 		f.options.Log.Error("quarantine not encoded", "error", err.Error())
 		return object, false
@@ -220,9 +220,9 @@
 	f.options.Metrics.StoreCall(callSave, result)
 	switch {
 	case now != nil:
-		f.takeSaved(now, true)
+		f.applySaved(now, true)
 	case err != nil:
-		f.noteUnsaved()
+		f.resetSavedRevision()
 	}
 	if err == nil {
 		f.options.Log.Info("quarantine saved", "revision", object.Revision, "bytes", len(object.Body))
