--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -202,7 +202,7 @@
 		view: peers.New(o.Self, func(n int) int { return int(o.Random() * float64(n)) }), readerDraw: o.Random(),
 		changed: make(chan struct{}), ready: make(chan struct{}), offers: make(chan offer, offerQueueSize), otherRegionOffers: make(chan offer, offerQueueSize),
 		announced: make([]announced, len(o.UpdateKinds)), announceRequests: make(chan struct{}, 1),
-		links: newLinks(o.Dial, o.Clock), fullDeltas: rate.NewLimiter(rate.Every(wholeEvery), wholesAtOnce),
+		links: newLinks(o.Dial, o.Clock), fullDeltas: rate.NewLimiter(rate.Every(fullDeltaInterval), fullDeltaBurst),
 	}
 	f.seedIndex = int(o.Random() * float64(len(o.Seeds())))
 	f.view.SetTiers(f.tier)
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// wholesAtOnce and wholeEvery bound how often all that is known is sent: so many at
+	// fullDeltaBurst and wholeEvery bound how often all that is known is sent: so many at
 	// once, then one each wholeEvery. Of 11 kB each, a list of 719 targets, they
 	// take half of a link of 20 Mbit/s; those that were sent it send it to others meanwhile.
-	wholesAtOnce = 4
-	wholeEvery   = 8 * time.Millisecond
-	// oldLookEvery is the time between two looks at a waiting question whose caller's
+	fullDeltaBurst    = 4
+	fullDeltaInterval = 8 * time.Millisecond
+	// staleCheckInterval is the time between two looks at a waiting question whose caller's
 	// knowledge has grown old. This gateway's may have become younger by less than wakes
 	// those that wait, and the gain that is worth telling falls with the caller's age.
-	oldLookEvery = 20 * time.Millisecond
+	staleCheckInterval = 20 * time.Millisecond
 )
 
 // methods are what other gateways may call.
@@ -57,8 +57,8 @@
 	if err := f.applyPushedDelta(args); err != nil {
 		return err
 	}
-	f.noteAsked(args)
-	f.await(args)
+	f.recordRequest(args)
+	f.waitForUpdate(args)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -109,8 +109,8 @@
 	return err
 }
 
-// noteAsked notes that another gateway asks, what it sends, and whom it has seen.
-func (f *Follower) noteAsked(args UpdateArgs) {
+// recordRequest notes that another gateway asks, what it sends, and whom it has seen.
+func (f *Follower) recordRequest(args UpdateArgs) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -122,21 +122,21 @@
 		return
 	}
 	f.observePeer(now, args.From, f.view.Called)
-	told := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().Lacks(args.At)}
-	if !told.fresher || f.fresh.Age(now) > args.Age {
-		f.noteOffer(now, told)
+	advertised := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().Lacks(args.At)}
+	if !advertised.fresher || f.fresh.Age(now) > args.Age {
+		f.noteOffer(now, advertised)
 	}
 }
 
-// await waits while there is nothing to send the caller.
-func (f *Follower) await(args UpdateArgs) {
+// waitForUpdate waits while there is nothing to send the caller.
+func (f *Follower) waitForUpdate(args UpdateArgs) {
 	if args.Wait <= 0 {
 		return
 	}
 	asked := f.options.Clock()
 	for {
 		f.mu.Lock()
-		changed, done, next := f.changed, f.hasAnswer(args, asked), f.nextLook(args, asked)
+		changed, done, next := f.changed, f.hasAnswer(args, asked), f.untilNextCheck(args, asked)
 		f.mu.Unlock()
 		if done || next <= 0 {
 			return
@@ -150,16 +150,16 @@
 	}
 }
 
-// nextLook is how long a question waits until it is looked at again though nothing
+// untilNextCheck is how long a question waits until it is looked at again though nothing
 // changes: until its wait is over or the caller's knowledge has grown old, and from then on
 // each oldLookEvery; the lock is held.
-func (f *Follower) nextLook(args UpdateArgs, asked time.Time) time.Duration {
+func (f *Follower) untilNextCheck(args UpdateArgs, asked time.Time) time.Duration {
 	waited := f.options.Clock().Sub(asked)
 	left := args.Wait - waited
 	if untilOld := f.fresh.UntilOld(agedBy(args.Age, waited)); untilOld > 0 {
 		return min(left, untilOld+time.Millisecond)
 	}
-	return min(left, oldLookEvery)
+	return min(left, staleCheckInterval)
 }
 
 // lacks says whether there is anything at a position that the caller lacks and follows.
