--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -252,7 +252,7 @@
 
 // Tasks are what a gateway does to stay up to date, each until its context ends.
 func (f *Follower) Tasks() []func(context.Context) error {
-	duties := []func(context.Context) error{f.start, f.readConfig, f.readTargets, f.ping, f.fetchOwnRegion, f.fetchOtherRegions, f.heal, f.links.closeIdle, f.announce}
+	duties := []func(context.Context) error{f.bootstrap, f.readConfig, f.readTargets, f.ping, f.fetchOwnRegion, f.fetchOtherRegions, f.heal, f.links.closeIdle, f.announce}
 	if f.options.Source.followsEvacuations() {
 		duties = append(duties, f.readEvacuations)
 	}
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -8,11 +8,11 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-// start is the duty of a gateway that knows nothing while its clients wait: unless
+// bootstrap is the duty of a gateway that knows nothing while its clients wait: unless
 // others send it everything first, it reads the store's older copy. What it saw may be seconds old
 // and is not sent to others; all is still asked of them.
-func (f *Follower) start(ctx context.Context) error {
-	for !f.options.FirstStart && !f.hasBegun() {
+func (f *Follower) bootstrap(ctx context.Context) error {
+	for !f.options.FirstStart && !f.isReady() {
 		if wait := f.untilStaleRead(); wait > 0 {
 			if !f.waitForChange(ctx, wait) {
 				return nil
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// hasBegun says whether there is something to serve by.
-func (f *Follower) hasBegun() bool {
+// isReady says whether there is something to serve by.
+func (f *Follower) isReady() bool {
 	select {
 	case <-f.ready:
 		return true
@@ -56,16 +56,16 @@
 	if seen.Config == nil {
 		return false
 	}
-	guess, ok := f.guess(ctx, seen)
+	guess, ok := f.completeStaleRead(ctx, seen)
 	if ok {
 		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.Guess(guess) })
 	}
 	return ok
 }
 
-// guess completes a stale read with those of the evacuations and of the rollouts, where these
+// completeStaleRead completes a stale read with those of the evacuations and of the rollouts, where these
 // are followed; ok is false if it must not be served by.
-func (f *Follower) guess(ctx context.Context, seen StaleRead) (guess catalog.Guess, ok bool) {
+func (f *Follower) completeStaleRead(ctx context.Context, seen StaleRead) (guess catalog.Guess, ok bool) {
 	guess = catalog.Guess{Version: seen.Config.Version, Body: seen.Config.Body, Targets: ownTargets(seen.Targets)}
 	if f.options.Source.followsEvacuations() {
 		evacuations, err := f.options.Source.StaleEvacuations(ctx)
