--- a/internal/gateway/discovery/links.go
+++ b/internal/gateway/discovery/links.go
@@ -10,16 +10,16 @@
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
 
-// dialPart is by how much a connection must come quicker than the answer to a question
+// dialSlackDivisor is by how much a connection must come quicker than the answer to a question
 // that does not wait, since nobody has to think about it. Where a third is cut off, those
 // inside draw two out of three times a gateway that can't be reached, and lose that time.
-const dialPart = 3
+const dialSlackDivisor = 3
 
 const (
-	// idleFor is how long a connection stays open that nobody uses: whoever has sent this
+	// idleTimeout is how long a connection stays open that nobody uses: whoever has sent this
 	// gateway something mostly does so again, and the codec describes all types on each new
 	// connection.
-	idleFor = 5 * time.Second
+	idleTimeout = 5 * time.Second
 	// idleCheckEvery is the time between two looks for connections that have been idle for
 	// long.
 	idleCheckEvery = time.Second
@@ -35,8 +35,8 @@
 
 	mu   sync.Mutex
 	open map[string]*link
-	// ended is whether none is kept any more that nobody uses.
-	ended bool
+	// closed is whether none is kept any more that nobody uses.
+	closed bool
 }
 
 // link is one connection to another gateway.
@@ -117,7 +117,7 @@
 	defer ls.mu.Unlock()
 	l.users--
 	l.idleSince = ls.clock()
-	if broke || ls.ended || ls.idle() > maxIdle || ls.open[l.address] != l {
+	if broke || ls.closed || ls.idleCount() > maxIdle || ls.open[l.address] != l {
 		ls.drop(l)
 	}
 }
@@ -133,8 +133,8 @@
 	}
 }
 
-// idle is how many connections nobody uses; the lock is held.
-func (ls *links) idle() (count int) {
+// idleCount is how many connections nobody uses; the lock is held.
+func (ls *links) idleCount() (count int) {
 	for _, l := range ls.open {
 		if l.users == 0 {
 			count++
@@ -147,10 +147,10 @@
 // end all of them.
 func (ls *links) closeIdle(ctx context.Context) error {
 	for pause.For(ctx, idleCheckEvery) {
-		ls.closeUnused(idleFor)
+		ls.closeUnused(idleTimeout)
 	}
 	ls.mu.Lock()
-	ls.ended = true
+	ls.closed = true
 	ls.mu.Unlock()
 	ls.closeUnused(0)
 	return nil
--- a/internal/gateway/discovery/links_test.go
+++ b/internal/gateway/discovery/links_test.go
@@ -31,7 +31,7 @@
 		f(NewWithT(t), ls, p)
 		stop()
 		NewWithT(t).Expect(<-done).To(Succeed())
-		NewWithT(t).Expect(ls.idle()).To(BeZero(), "none stays open")
+		NewWithT(t).Expect(ls.idleCount()).To(BeZero(), "none stays open")
 	})
 }
 
@@ -46,10 +46,10 @@
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		for range 10 {
 			use(g, ls, "peer", false)
-			time.Sleep(idleFor - 2*idleCheckEvery)
+			time.Sleep(idleTimeout - 2*idleCheckEvery)
 		}
 		g.Expect(p.ends).To(HaveLen(1))
-		time.Sleep(idleFor + idleCheckEvery)
+		time.Sleep(idleTimeout + idleCheckEvery)
 		synctest.Wait()
 		g.Expect(ls.open).To(BeEmpty(), "closed once nobody has used it for that time")
 		use(g, ls, "peer", false)
@@ -80,7 +80,7 @@
 		for i := range 3 * maxIdle {
 			use(g, ls, "peer-"+strconv.Itoa(i), false)
 		}
-		g.Expect(ls.idle()).To(Equal(maxIdle))
+		g.Expect(ls.idleCount()).To(Equal(maxIdle))
 	})
 }
 
@@ -89,7 +89,7 @@
 		l, err := ls.acquire(context.Background(), "peer", time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
 		use(g, ls, "peer", false)
-		time.Sleep(3 * idleFor)
+		time.Sleep(3 * idleTimeout)
 		use(g, ls, "peer", false)
 		g.Expect(p.ends).To(HaveLen(1))
 		ls.release(l, false)
--- a/internal/gateway/discovery/region.go
+++ b/internal/gateway/discovery/region.go
@@ -34,9 +34,9 @@
 // dialSlack is how long it may take to connect to a gateway.
 func (f *Follower) dialSlack(peer member.Box) time.Duration {
 	if f.inOtherRegion(peer) {
-		return f.options.Timing.PollSlack/dialPart + regionSlack
+		return f.options.Timing.PollSlack/dialSlackDivisor + regionSlack
 	}
-	return f.options.Timing.PollSlack / dialPart
+	return f.options.Timing.PollSlack / dialSlackDivisor
 }
 
 // requestsDelta says whether a question to a neighbour asks for what is missing here, and
