--- a/internal/gateway/discovery/assign.go
+++ b/internal/gateway/discovery/assign.go
@@ -20,15 +20,15 @@
 		order, ordered := f.catalog.Rollout(service)
 		admitted := f.versions.Admit(service, all, order, ordered, f.catalog.Position())
 		f.withheld = f.withheld || len(admitted) < len(all)
-		taking := targets[service]
+		eligible := targets[service]
 		if len(admitted) < len(all) {
-			taking = among(taking, admitted)
+			eligible = intersect(eligible, admitted)
 		}
-		targets[service] = taking
+		targets[service] = eligible
 		if !ordered {
 			continue
 		}
-		a := rollout.Assign(order, taking, f.versions.OnTrial(service, order.Version))
+		a := rollout.Assign(order, eligible, f.versions.OnTrial(service, order.Version))
 		targets[service] = a.Baseline()
 		if a.TakesAll() {
 			targets[service] = a.Canary()
@@ -38,8 +38,8 @@
 	return assigned
 }
 
-// among lists those of some targets that are among others.
-func among(targets, others []catalog.Target) []catalog.Target {
+// intersect lists those of some targets that are intersect others.
+func intersect(targets, others []catalog.Target) []catalog.Target {
 	in := make(map[string]bool, len(others))
 	for _, t := range others {
 		in[t.ID] = true
