--- a/internal/gateway/discovery/announce.go
+++ b/internal/gateway/discovery/announce.go
@@ -15,8 +15,8 @@
 	at       time.Time
 }
 
-// announcedOf is how far a kind of update is announced; the lock is held.
-func (f *Follower) announcedOf(kind int) string {
+// announcedPosition is how far a kind of update is announced; the lock is held.
+func (f *Follower) announcedPosition(kind int) string {
 	w, a := &f.options.UpdateKinds[kind], &f.announced[kind]
 	position := w.Position()
 	if position == a.position {
--- a/internal/gateway/discovery/updates.go
+++ b/internal/gateway/discovery/updates.go
@@ -99,7 +99,7 @@
 // far.
 func (f *Follower) lacksUpdates(at positions) bool {
 	for i := range f.kindsFor(at) {
-		if !covers(at.updates[i], f.announcedOf(i)) {
+		if !covers(at.updates[i], f.announcedPosition(i)) {
 			return true
 		}
 	}
