--- a/internal/gateway/discovery/calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -155,14 +155,14 @@
 // noteReturn notes, and logs, the first answer of the store after an outage; the
 // lock is held.
 func (f *Follower) noteReturn(now time.Time) {
-	away := f.fresh.Age(now)
+	unreachableFor := f.fresh.Age(now)
 	if f.fresh.NoteReturn(now, f.knowsTargets()) {
-		f.options.Log.Info("store back after an outage", "away_s", away.Seconds(), "targets_read_in_s", f.restoreDelay(now).Seconds())
+		f.options.Log.Info("store back after an outage", "away_s", unreachableFor.Seconds(), "targets_read_in_s", f.restoreDelay(now).Seconds())
 	}
 }
 
-// untilTargets is how long the targets should not be read; the lock is held.
-func (f *Follower) untilTargets(now time.Time) time.Duration {
+// untilTargetsDue is how long the targets should not be read; the lock is held.
+func (f *Follower) untilTargetsDue(now time.Time) time.Duration {
 	if left := f.fresh.UntilRestored(now, f.restoreDelay(now)); left > 0 {
 		return left
 	}
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -56,7 +56,7 @@
 
 // readTargets is the duty of watching the targets in the store.
 func (f *Follower) readTargets(ctx context.Context) error {
-	return f.runWatch(ctx, &watch{name: "targets", state: f.fresh.Targets(), call: f.callTargets, delay: f.untilTargets})
+	return f.runWatch(ctx, &watch{name: "targets", state: f.fresh.Targets(), call: f.callTargets, delay: f.untilTargetsDue})
 }
 
 // readEvacuations is the duty of watching the evacuations in the store.
