--- a/internal/gateway/discovery/announce.go
+++ b/internal/gateway/discovery/announce.go
@@ -7,23 +7,24 @@
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
 
-// announced is how far a kind of update has come here, as other gateways are notified of it, and
-// when that last changed. It trails what is known by at most Updates.Every, so that updates that
-// come one after the other leave together.
+// announced is the position of a kind of update that other gateways are notified of, and
+// when it last changed. It lags behind the known position by at most
+// UpdateKind.MinInterval, so that updates that follow each other closely are sent together.
 type announced struct {
 	position string
 	at       time.Time
 }
 
-// announcedPosition is how far a kind of update is announced; the lock is held.
+// announcedPosition returns the announced position of a kind of update, which advances if
+// MinInterval has passed; the lock is held.
 func (f *Follower) announcedPosition(kind int) string {
-	w, a := &f.options.UpdateKinds[kind], &f.announced[kind]
-	position := w.Position()
+	k, a := &f.options.UpdateKinds[kind], &f.announced[kind]
+	position := k.Position()
 	if position == a.position {
 		return position
 	}
 	now := f.options.Clock()
-	if now.Sub(a.at) < w.MinInterval {
+	if now.Sub(a.at) < k.MinInterval {
 		f.announceLater()
 		return a.position
 	}
@@ -31,19 +32,19 @@
 	return position
 }
 
-// announceLater has the duty announce what could not be announced yet.
+// announceLater requests that the background task announce what could not be announced yet.
 func (f *Follower) announceLater() {
 	select {
 	case f.announceRequests <- struct{}{}:
-	default: // it will
+	default: // requested already
 	}
 }
 
-// announce is the duty of announcing updates that came soon after others.
+// announce is the background task that announces updates that came soon after others.
 func (f *Follower) announce(ctx context.Context) error {
 	var every time.Duration
-	for _, w := range f.options.UpdateKinds {
-		every = max(every, w.MinInterval)
+	for _, k := range f.options.UpdateKinds {
+		every = max(every, k.MinInterval)
 	}
 	for {
 		select {
--- a/internal/gateway/discovery/assign.go
+++ b/internal/gateway/discovery/assign.go
@@ -7,9 +7,10 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/rollout"
 )
 
-// assign takes out of targets, those that take requests by service, what is on trial or of
-// a version that must not be used yet, and returns what each rollout assigns. known are all
-// targets by service, also those that leave or are evacuated; the lock is held.
+// assign removes from targets, the targets that take requests by service, those that are on
+// trial or of a version that must not be used yet, and returns what each rollout assigns.
+// known holds all targets by service, including those that leave or are evacuated; the lock
+// is held.
 func (f *Follower) assign(known, targets map[string][]catalog.Target) map[string]rollout.Assignment {
 	f.withheld = false
 	if !f.options.Source.followsRollouts() {
@@ -38,7 +39,7 @@
 	return assigned
 }
 
-// intersect lists those of some targets that are intersect others.
+// intersect returns those of targets whose ids are among others.
 func intersect(targets, others []catalog.Target) []catalog.Target {
 	in := make(map[string]bool, len(others))
 	for _, t := range others {
@@ -47,22 +48,22 @@
 	return slices.DeleteFunc(slices.Clone(targets), func(t catalog.Target) bool { return !in[t.ID] })
 }
 
-// publishWaiting publishes anew if targets wait for orders to be known, which may be known
-// by now; the lock is held.
+// publishWaiting publishes again if targets are withheld until the rollouts are known,
+// since they may be known by now; the lock is held.
 func (f *Follower) publishWaiting(from string) {
 	if f.withheld {
 		f.publish(from)
 	}
 }
 
-// Rollouts are the rollouts as they are believed to be.
+// Rollouts returns the known rollouts.
 func (f *Follower) Rollouts() []catalog.Rollout {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.catalog.Rollouts()
 }
 
-// logRollouts writes how the rollouts stand now; the lock is held.
+// logRollouts logs the state of the rollouts; the lock is held.
 func (f *Follower) logRollouts(from string) {
 	for _, r := range f.catalog.Rollouts() {
 		f.options.Log.Info("rollout", "service", r.Service, "version", r.Version, "state", r.State.String(),
--- a/internal/gateway/discovery/calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -10,8 +10,8 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-// errRestoring says that targets were read too soon after an outage of the store:
-// entries that lapsed meanwhile are being made again.
+// errRestoring says that targets were read too soon after an outage of the store: entries
+// that expired meanwhile are still being written again.
 var errRestoring = errors.New("the entries of targets are being restored after an outage of the store")
 
 // callConfig makes one call for the configuration.
@@ -50,8 +50,7 @@
 	return nil
 }
 
-// targetsUpdate reads the targets, or what has changed of them, and returns how
-// the catalog takes it in.
+// targetsUpdate reads the targets, or their changes, and returns the change to the catalog.
 func (f *Follower) targetsUpdate(ctx context.Context, whole bool) (change, error) {
 	from := f.position().Targets
 	if whole || from == 0 || f.mustReread(&f.rereads.targets) {
@@ -66,8 +65,9 @@
 	}, err
 }
 
-// ownTargets are those that wrote their entries themselves: where targets report when they
-// started, an entry that does not is another writer's and names no target.
+// ownTargets returns the targets that wrote their entries themselves: where targets report
+// when they started, an entry without a start time is from another writer and does not
+// describe a target.
 func ownTargets(targets []catalog.Target) []catalog.Target {
 	if !catalog.ReportStarts(targets) {
 		return targets
@@ -75,8 +75,8 @@
 	return slices.DeleteFunc(slices.Clone(targets), func(t catalog.Target) bool { return t.Born == 0 })
 }
 
-// ownChanges has targets gone whose entry another writer has overwritten, where targets
-// report when they started.
+// ownChanges marks targets as gone whose entry another writer has overwritten, where
+// targets report when they started.
 func ownChanges(changes []catalog.Change, reportStarts bool) []catalog.Change {
 	if !reportStarts {
 		return changes
@@ -88,8 +88,8 @@
 	return changes
 }
 
-// callEvacuations makes one call for the evacuations. They don't lapse in an outage, so
-// that they are read at once after it.
+// callEvacuations makes one call for the evacuations. They don't expire during an outage,
+// so they are read immediately after it.
 func (f *Follower) callEvacuations(ctx context.Context, whole bool) error {
 	update, err := f.evacuationsUpdate(ctx, whole)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// evacuationsUpdate reads the evacuations, or what has changed of them, and returns how
-// the catalog takes it in.
+// evacuationsUpdate reads the evacuations, or their changes, and returns the change to the
+// catalog.
 func (f *Follower) evacuationsUpdate(ctx context.Context, whole bool) (change, error) {
 	from := f.position().Evacuations
 	if whole || from == 0 || f.mustReread(&f.rereads.evacuations) {
@@ -115,8 +115,8 @@
 	}, err
 }
 
-// callRollouts makes one call for the rollouts. Like evacuations they don't lapse in an
-// outage.
+// callRollouts makes one call for the rollouts. Like evacuations, they don't expire during
+// an outage.
 func (f *Follower) callRollouts(ctx context.Context, whole bool) error {
 	update, err := f.rolloutsUpdate(ctx, whole)
 	if err != nil {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// rolloutsUpdate reads the rollouts, or what has changed of them, and returns how the
-// catalog takes it in.
+// rolloutsUpdate reads the rollouts, or their changes, and returns the change to the
+// catalog.
 func (f *Follower) rolloutsUpdate(ctx context.Context, whole bool) (change, error) {
 	from := f.position().Rollouts
 	if whole || from == 0 || f.mustReread(&f.rereads.rollouts) {
@@ -142,8 +142,8 @@
 	}, err
 }
 
-// noteAnswer notes the store's return, if this answer is it, and says whether
-// entries of targets are still being restored.
+// noteAnswer records the store's return, if this is its first response after an outage, and
+// reports whether the entries of targets are still being restored.
 func (f *Follower) noteAnswer() (restoring bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,8 +152,8 @@
 	return f.fresh.UntilRestored(now, f.restoreDelay(now)) > 0
 }
 
-// noteReturn notes, and logs, the first answer of the store after an outage; the
-// lock is held.
+// noteReturn records, and logs, the first response of the store after an outage; the lock
+// is held.
 func (f *Follower) noteReturn(now time.Time) {
 	unreachableFor := f.fresh.Age(now)
 	if f.fresh.NoteReturn(now, f.knowsTargets()) {
@@ -161,7 +161,7 @@
 	}
 }
 
-// untilTargetsDue is how long the targets should not be read; the lock is held.
+// untilTargetsDue returns for how long the targets should not be read; the lock is held.
 func (f *Follower) untilTargetsDue(now time.Time) time.Duration {
 	if left := f.fresh.UntilRestored(now, f.restoreDelay(now)); left > 0 {
 		return left
@@ -169,8 +169,8 @@
 	return f.untilConfigAnswers(now)
 }
 
-// untilConfigAnswers is how long the other watches make no call since that of the
-// configuration fails; the lock is held.
+// untilConfigAnswers returns for how long the other watches make no call because the call
+// for the configuration fails; the lock is held.
 func (f *Follower) untilConfigAnswers(time.Time) time.Duration {
 	if f.fresh.Config().Failing() {
 		return maxRoleCheckInterval
@@ -178,8 +178,8 @@
 	return 0
 }
 
-// restoreDelay is how long after the store's return this gateway reads the
-// targets; the lock is held.
+// restoreDelay returns how long after the store's return this gateway reads the targets;
+// the lock is held.
 func (f *Follower) restoreDelay(now time.Time) time.Duration {
 	return reader.RestoreDelay(f.rank(now), f.options.Timing.RestoreWithin)
 }
--- a/internal/gateway/discovery/changelog.go
+++ b/internal/gateway/discovery/changelog.go
@@ -9,23 +9,23 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/changes"
 )
 
-// ChangeLog is a list of changes that gateways exchange. Its functions may be called while the
-// follower is locked and must not call it.
+// ChangeLog is a log of changes that gateways exchange. Its functions may be called while
+// the Follower is locked and must not call it.
 type ChangeLog[T any] struct {
-	// Name is what it holds, for log lines.
+	// Name says what it holds, for log lines.
 	Name string
-	// Position is how far the list has come.
+	// Position returns the position of the log.
 	Position func() changes.Position
-	// Since is what changed since a position, and how far that comes.
+	// Since returns the changes since a position, and the position that they lead to.
 	Since func(at changes.Position) (updates []T, to changes.Position)
-	// Merge takes in changes of another gateway, and says whether any is new here.
+	// Merge applies changes of another gateway, and reports whether any was new here.
 	Merge func(updates []T) (isNew bool)
-	// MinInterval is that of Updates.
+	// MinInterval is that of UpdateKind.
 	MinInterval time.Duration
 	Log         *slog.Logger
 }
 
-// UpdateKind are the changes as gateways exchange them.
+// UpdateKind returns the log as a kind of update that gateways exchange.
 func (l ChangeLog[T]) UpdateKind() UpdateKind {
 	return UpdateKind{Position: l.position, Since: l.since, Merge: l.merge, MinInterval: l.MinInterval}
 }
@@ -40,7 +40,7 @@
 	}
 	var body bytes.Buffer
 	if err := gob.NewEncoder(&body).Encode(updates); err != nil {
-		l.Log.Error("updates for other gateways not encoded", "of", l.Name, "error", err.Error())
+		l.Log.Error("encoding updates for other gateways failed", "of", l.Name, "error", err.Error())
 		return nil, to
 	}
 	return body.Bytes(), to
@@ -52,7 +52,7 @@
 	}
 	var updates []T
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&updates); err != nil {
-		l.Log.Warn("updates of a gateway not understood", "of", l.Name, "peer", from, "error", err.Error())
+		l.Log.Warn("decoding updates of a gateway failed", "of", l.Name, "peer", from, "error", err.Error())
 		return false
 	}
 	return l.Merge(updates)
--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -1,47 +1,48 @@
-// Package discovery keeps what a gateway believes of the configuration, of the targets,
-// of the halls that are evacuated and of the rollouts up to date (service discovery). One
-// gateway reads the store; the others learn of updates from each other. Each keeps
-// exchanging with a few others, drawn at random, and both sides of such a link say how far
-// they are; whoever is behind asks for what it lacks, of one of those that have it. A
-// gateway that learns nothing in time reads for itself, so that nobody's knowledge depends
-// on the others.
+// Package discovery keeps a gateway's view of the configuration, the targets, the evacuated
+// halls and the rollouts up to date (service discovery). One gateway reads the store; the
+// others receive updates from each other. Each gateway keeps exchanging state with a few
+// neighbours, drawn at random. Both sides of such a link advertise their positions, and the
+// one that is behind requests what it lacks from one gateway that has it. A gateway that
+// receives no updates in time reads the store itself, so that no gateway depends on the
+// others to stay up to date.
 //
-// It owns the catalog of the process (core/gateway/catalog), the view of the other
-// gateways (core/gateway/peers), their freshness (core/gateway/freshness) and the tries
-// to read that it has learnt of (core/gateway/reader), under one lock, and publishes a
-// snapshot for the data path at each change. It relies on the store by a Source and on
-// other gateways by net/rpc; without either it goes on with what it knows. Who reads is
-// decided by core/gateway/reader, with whom to exchange by core/gateway/peers.
+// The package owns the catalog of the process (core/gateway/catalog), the view of the other
+// gateways (core/gateway/peers), the freshness of the state (core/gateway/freshness) and
+// the known attempts to read the store (core/gateway/reader), under one lock. It publishes
+// a snapshot for the data path at each change. It reaches the store through a Source and
+// the other gateways through net/rpc; without either, it continues with the last known
+// state. core/gateway/reader decides which gateway reads, core/gateway/peers with which
+// gateways to exchange.
 //
-// The jobs, each with a file and, where it waits, a goroutine of its own:
+// The tasks, each in a file of its own and, where it waits, in a goroutine of its own:
 //
-//	read.go       the loop of a watch: whether to call the store, and how to go on
-//	calls.go      the calls, and how their answers get into the catalog
-//	role.go       who reads: this gateway's rank, and taking up or laying down the reading
-//	start.go      a stale read of the store by a gateway that knows nothing
-//	ping.go       confirming, between the answers of a watch, that the store is there
-//	neighbour.go  the few gateways to exchange with: asking, telling
-//	draw.go       drawing these; region.go: what is different between regions
-//	exchange.go   working in what another gateway says
-//	fetch.go      asking for what is missing here, once
-//	heal.go       finding gateways again that were cut off
+//	read.go       the loop of a watch: whether to call the store, and when to call again
+//	calls.go      the calls, and how their responses are applied to the catalog
+//	role.go       whether this gateway is a reader, by its rank
+//	start.go      a stale read of the store by a gateway without any state
+//	ping.go       pings that confirm between two responses of a watch that the store is reachable
+//	neighbour.go  the neighbours: polling them and pushing updates to them
+//	draw.go       how neighbours are drawn; region.go: what differs between regions
+//	exchange.go   applying the replies of other gateways
+//	fetch.go      requesting missing state from one gateway
+//	heal.go       reconnecting to gateways after a partition
 //	serve.go      answering other gateways
-//	links.go      connections to them; protocol.go: what gateways say to each other
-//	publish.go    the snapshot of the data path, and the log lines of changes
-//	rewind.go     a store that comes back from an older copy
+//	links.go      connections to other gateways; protocol.go: the messages
+//	publish.go    the snapshot for the data path, and the log lines of changes
+//	rewind.go     a store that was restored from an older copy
 //	assign.go     which targets the snapshot leaves to the versions on trial
-//	updates.go    what gateways exchange beside the catalog; changelog.go: a list of such changes
-//	announce.go   updates that come one after the other leave together
-//	saved.go      what is saved in the store of requests that end targets
-//	rollout.go    what is reported of rollouts to whom decides on them
+//	updates.go    what gateways exchange beside the catalog; changelog.go: a log of such changes
+//	announce.go   batching of updates that follow each other closely
+//	saved.go      the quarantined requests that are saved in the store
+//	rollout.go    what the decider of rollouts needs to know
 //
 // # Usage
 //
 //	f := discovery.New(discovery.Options{Self: self, Source: source, Decode: decode, ...})
-//	for _, duty := range f.Duties() {
-//		group.Add(func() error { return duty(ctx) }, ...)
+//	for _, task := range f.Tasks() {
+//		group.Add(func() error { return task(ctx) }, ...)
 //	}
-//	believed := f.Snapshot()
+//	snapshot := f.Snapshot()
 package discovery
 
 import (
@@ -68,34 +69,35 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/metrics"
 )
 
-// Timing holds the times of a Follower; gateway.timing derives them from the
-// settings.
+// Timing holds the intervals and timeouts of a Follower; gateway.timing derives them from
+// the settings.
 type Timing struct {
-	// StaleAfter is how old knowledge may be: the gateways next in rank read the
-	// store then, and others no longer turn to whoever has such knowledge.
+	// StaleAfter is the age at which state is stale: the standbys read the store then, and
+	// gateways no longer rely on a peer whose state is that old.
 	StaleAfter time.Duration
-	// MayReadAfter is how old the knowledge of any other gateway may be before it
-	// may read the store itself, and LastAfter the age by which it does.
+	// MayReadAfter is the age of its state from which any other gateway may read the store
+	// itself, and MustReadAfter the age by which it does.
 	MayReadAfter  time.Duration
 	MustReadAfter time.Duration
 	// PingInterval is the pause between two pings of the store by a gateway whose watches
 	// others rely on.
 	PingInterval time.Duration
-	// PollWait is how long one question to another gateway waits for updates.
+	// PollWait is how long one poll of another gateway waits for updates.
 	PollWait time.Duration
-	// PollSlack is how much later than Poll the answer may come.
+	// PollSlack is how much later than PollWait the reply may arrive.
 	PollSlack time.Duration
 	// WatchWait is how long one watch of the store waits for changes.
 	WatchWait time.Duration
-	// WatchSlack is how much later than Watch its answer may come.
+	// WatchSlack is how much later than WatchWait its response may arrive.
 	WatchSlack time.Duration
-	// BatchDelay is the pause after an update from the store, in which more may gather.
+	// BatchDelay is the pause after an update from the store, during which more may
+	// accumulate.
 	BatchDelay time.Duration
-	// SoloBatchDelay is that pause where no other gateway asks for updates.
+	// SoloBatchDelay is that pause while no other gateway polls this one for updates.
 	SoloBatchDelay time.Duration
-	// OutageAfter is how long nothing can be confirmed before entries of targets
-	// may have lapsed in the store, and Restore how soon after its return those
-	// of targets that live are there again.
+	// OutageAfter is how long nothing can be confirmed before entries of targets may have
+	// expired in the store. RestoreWithin is how soon after the store's return the entries
+	// of running targets have been written again.
 	OutageAfter   time.Duration
 	RestoreWithin time.Duration
 }
@@ -104,89 +106,96 @@
 	return freshness.Timing{Fresh: t.StaleAfter, Watch: t.WatchWait, WatchSlack: t.WatchSlack, Outage: t.OutageAfter}
 }
 
-// Options configure a Follower.
+// Options configures a Follower.
 type Options struct {
 	Self member.Box
-	// FirstStart says that all gateways are starting for the first time, so that
-	// none is serving yet and each can wait for what the readers find.
+	// FirstStart says that the whole fleet starts for the first time: no gateway is serving
+	// yet, so each can wait for the state that the readers obtain.
 	FirstStart bool
-	// Seeds gives peer addresses of some gateways; they may be out of date. It may be
+	// Seeds returns the peer addresses of some gateways; they may be out of date. It may be
 	// nil.
 	Seeds  func() []string
 	Source Source
 	Decode func(body []byte) (*routing.Table, error)
 	Timing Timing
 	Clock  func() time.Time
-	// WallClock is what other lives of gateways can compare with; nil for time.Now.
+	// WallClock returns a time that other incarnations of gateways can compare with theirs;
+	// nil for time.Now.
 	WallClock func() time.Time
-	// Locality says how far halls are. It may be nil for a fleet of one region.
+	// Locality returns the tiers of halls by distance. It may be nil for a fleet of one
+	// region.
 	Locality func() *locality.Map
-	// Fatal is what is known of requests that end targets, which gateways exchange;
-	// nil where nobody notes any here.
+	// Fatal records the requests that terminate targets, which gateways exchange; nil if
+	// nothing here records any.
 	Fatal *fatal.Register
-	// LimitsFor is for how much longer gateways share limits that targets name, which they
-	// send each other, and ObserveLimits takes in what another one says; nil where nobody does here.
+	// LimitsFor returns for how much longer gateways share the limits that targets
+	// advertise; gateways send each other this time. ObserveLimits receives what another
+	// gateway sent. Both are nil where limits are not shared.
 	LimitsFor     func() time.Duration
 	ObserveLimits func(left time.Duration)
-	// UpdateKinds are what gateways exchange besides, in the order in which versions began to.
+	// UpdateKinds are the kinds of updates that gateways exchange beside the catalog, in
+	// the order in which versions of the gateway introduced them.
 	UpdateKinds []UpdateKind
 	// Metrics may be nil.
 	Metrics *metrics.Metrics
 	Log     *slog.Logger
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	// Random gives a uniform number in [0, 1).
+	// Random returns a uniform random number in [0, 1).
 	Random func() float64
 }
 
-// Follower holds what is believed and how fresh it is.
+// Follower holds the known state and its freshness.
 type Follower struct {
 	options Options
 	started time.Time
 
 	mu      sync.Mutex
-	changed chan struct{} // closed and renewed at each change
+	changed chan struct{} // closed and replaced at each change
 	catalog *catalog.Catalog
 	table   *routing.Table
 	fresh   *freshness.Tracker
-	// versions holds which versions of each service were met in service or on trial.
+	// versions holds which versions of each service have been seen in service or on trial.
 	versions *rollout.Versions
-	// withheld says that targets of some version wait for orders to be known.
+	// withheld says that the targets of some version are not used until the rollouts are
+	// known.
 	withheld bool
 	view     *peers.View
 	tries    reader.Tries
-	// packedConfig and packedTargets are the catalog's as sent to others.
+	// packedConfig and packedTargets cache the compressed parts of the catalog that are
+	// sent to other gateways.
 	packedConfig  packedConfig
 	packedTargets packedTargets
-	// neighbourIDs are the ids of the gateways that have a place, "" for none.
+	// neighbourIDs are the ids of the neighbours by slot, "" for an empty slot.
 	neighbourIDs [neighbourCount]string
 	// seedIndex counts the seeds that were tried.
 	seedIndex int
 	// firstPeerAt is when the first other gateway was found; zero before.
 	firstPeerAt time.Time
-	// lastOfferAt is when another gateway last said that it knows more.
+	// lastOfferAt is when another gateway last advertised a later position.
 	lastOfferAt time.Time
-	// isReader says whether the reading of the store falls to this gateway, and draw is
-	// the random number by which it does.
+	// isReader says whether this gateway has to read the store, and readerDraw is the
+	// random number that enters into this decision.
 	isReader   bool
 	readerDraw float64
-	// ownTry is this gateway's latest try to read the store on behalf of others.
+	// ownTry is this gateway's latest attempt to read the store on behalf of others.
 	ownTry reader.Try
-	// rereads are when all must be read again since the store came back older.
+	// rereads holds when each kind must be read in full again since the store was restored
+	// from an older copy.
 	rereads rereads
-	// saved is what the store holds of requests that end targets.
+	// saved is the object in the store that holds the quarantined requests.
 	saved saved
-	// lastAskedAt is when another gateway last lastAskedAt this one for updates.
+	// lastAskedAt is when another gateway last polled this one for updates.
 	lastAskedAt time.Time
 
-	// Offers wait to be taken up: offers those of gateways of the own region,
-	// otherRegionOffers those of others.
+	// offers and otherRegionOffers queue the offers of gateways of the own region and of
+	// other regions until they are fetched.
 	offers, otherRegionOffers chan offer
-	// announced is how far each kind of update is announced, and unannounced has a place for
-	// the wish to announce more.
+	// announced is the announced position of each kind of update; announceRequests holds at
+	// most one request to announce later ones.
 	announced        []announced
 	announceRequests chan struct{}
 	links            *links
-	// fullDeltas bounds how often all that is known is sent.
+	// fullDeltas limits how often the full catalog is sent.
 	fullDeltas *rate.Limiter
 
 	published atomic.Pointer[snapshot.Snapshot]
@@ -194,7 +203,7 @@
 	readyOnce sync.Once
 }
 
-// New makes a follower that knows nothing.
+// New creates a Follower without any state.
 func New(o Options) *Follower {
 	o = o.withDefaults()
 	f := &Follower{
@@ -217,7 +226,7 @@
 	return f
 }
 
-// withDefaults fills in what was left out.
+// withDefaults replaces missing options by their defaults.
 func (o Options) withDefaults() Options {
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -241,8 +250,8 @@
 		o.Seeds = func() []string { return nil }
 	}
 	if o.Locality == nil {
-		places := locality.New(o.Self.Hall, "", nil)
-		o.Locality = func() *locality.Map { return places }
+		tiers := locality.New(o.Self.Hall, "", nil)
+		o.Locality = func() *locality.Map { return tiers }
 	}
 	if o.Random == nil {
 		o.Random = rand.Float64
@@ -250,31 +259,32 @@
 	return o
 }
 
-// Tasks are what a gateway does to stay up to date, each until its context ends.
+// Tasks returns the background tasks that keep a gateway up to date; each runs until its
+// context ends.
 func (f *Follower) Tasks() []func(context.Context) error {
-	duties := []func(context.Context) error{f.bootstrap, f.readConfig, f.readTargets, f.ping, f.fetchOwnRegion, f.fetchOtherRegions, f.heal, f.links.closeIdle, f.announce}
+	tasks := []func(context.Context) error{f.bootstrap, f.readConfig, f.readTargets, f.ping, f.fetchOwnRegion, f.fetchOtherRegions, f.heal, f.links.closeIdle, f.announce}
 	if f.options.Source.followsEvacuations() {
-		duties = append(duties, f.readEvacuations)
+		tasks = append(tasks, f.readEvacuations)
 	}
 	if f.options.Source.followsRollouts() {
-		duties = append(duties, f.readRollouts)
+		tasks = append(tasks, f.readRollouts)
 	}
 	if f.options.Source.Saved != nil {
-		duties = append(duties, f.readSaved, f.save)
+		tasks = append(tasks, f.readSaved, f.save)
 	}
-	for place := range neighbourCount {
-		duties = append(duties, func(ctx context.Context) error { return f.exchangeWithNeighbours(ctx, place) })
+	for slot := range neighbourCount {
+		tasks = append(tasks, func(ctx context.Context) error { return f.exchangeWithNeighbours(ctx, slot) })
 	}
-	return duties
+	return tasks
 }
 
-// Snapshot is what is believed now.
+// Snapshot returns the known state for the data path.
 func (f *Follower) Snapshot() *snapshot.Snapshot { return f.published.Load() }
 
-// Ready is closed once a configuration and the targets are known.
+// Ready returns a channel that is closed once a configuration and the targets are known.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// SetLeaving notifies the other gateways that this one stops.
+// SetLeaving notifies the other gateways that this one is stopping.
 func (f *Follower) SetLeaving() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -282,8 +292,8 @@
 	f.wake()
 }
 
-// Current says whether what is believed was confirmed lately, or this gateway's
-// own watches would report a change.
+// Current reports whether the known state was confirmed recently, or this gateway's own
+// watches would report a change.
 func (f *Follower) Current() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -291,56 +301,55 @@
 	return f.fresh.Fresh(now) || f.fresh.Reads(now)
 }
 
-// Age is how long ago what is believed was confirmed; freshness.Never if it was
-// not.
+// Age returns the time since the known state was last confirmed; freshness.Never if it
+// never was.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh.Age(f.options.Clock())
 }
 
-// ReadsStore says whether this gateway's own watches are in order.
+// ReadsStore reports whether this gateway's own watches of the store are working.
 func (f *Follower) ReadsStore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh.Reads(f.options.Clock())
 }
 
-// Wake has everything that waits look anew: it should be called when the machine was
-// suspended, which the timers don't count.
+// Wake makes all waiting tasks check the state again. It should be called after the machine
+// was suspended, since timers don't count that time.
 func (f *Follower) Wake() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.wake()
 }
 
-// wake wakes those that wait for a change; the lock is held.
+// wake wakes the tasks that wait for a change; the lock is held.
 func (f *Follower) wake() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// wakeIfStale wakes those that wait if what is believed had grown old; the lock is
-// held.
+// wakeIfStale wakes the waiting tasks if the known state was stale; the lock is held.
 func (f *Follower) wakeIfStale(wasOld bool) {
 	if wasOld {
 		f.wake()
 	}
 }
 
-// position is how far the catalog has come.
+// position returns the position of the catalog.
 func (f *Follower) position() catalog.Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.catalog.Position()
 }
 
-// isInitialized says whether a configuration, the targets, and what else is followed are known;
-// the lock is held.
+// isInitialized reports whether a configuration, the targets, and what else is followed are
+// known; the lock is held.
 func (f *Follower) isInitialized() bool {
 	position := f.catalog.Position()
 	return position.ConfigRevision > 0 && position.Targets > 0 && f.canConfirm(position)
 }
 
-// knowsTargets says whether any targets were ever known; the lock is held.
+// knowsTargets reports whether a list of targets was ever received; the lock is held.
 func (f *Follower) knowsTargets() bool { return f.catalog.Position().Targets > 0 }
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -563,7 +563,7 @@
 	at := listen(t)
 	other := start(t, "other", 0, at, &access{store: s}, []string{first.Addr().String()})
 	g.Eventually(first.log.String, eventual).Should(ContainSubstring(`msg="reading the store" reads=true rank=0`))
-	g.Eventually(other.log.String, eventual).Should(MatchRegexp(`msg="news come from" peer=(first|"") address=` + first.Addr().String()))
+	g.Eventually(other.log.String, eventual).Should(MatchRegexp(`msg="exchanging state with a new neighbour" peer=(first|"") address=` + first.Addr().String()))
 	other.kill()
 	again, err := net.Listen("tcp", at.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/discovery/draw.go
+++ b/internal/gateway/discovery/draw.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// neighbourCount is how many other gateways one keeps exchanging with. Each is
-	// linked to six on average, and what is left of them when a third is cut off still
-	// hangs together but for 2 in 1,000.
+	// neighbourCount is how many other gateways each gateway keeps exchanging state with.
+	// Each has six links on average, and with a third of the fleet cut off, the rest stays
+	// connected but for 2 in 1,000.
 	neighbourCount = 3
-	// neighbourKeepTime is how long a neighbour is kept, on average. Since they are drawn anew, links
-	// don't settle into groups, and nobody stays without any.
+	// neighbourKeepTime is the mean time for which a neighbour is kept. Drawing neighbours
+	// anew prevents links from forming closed groups, and gateways from staying without
+	// any.
 	neighbourKeepTime = 9 * time.Second
-	// otherHallFactor is how much longer neighbours in other halls are kept, and how much more
-	// seldom members are swapped with them: bytes between halls are paid for. Questions
-	// wait as long as within a hall: with three times that, knowledge in other halls than
-	// the reader's grew so old on the way that standbys read (24 gateways, half a minute
-	// in which nothing happened: 106 calls to the store in place of 66).
+	// otherHallFactor is how much longer neighbours in other halls are kept, and how much
+	// less often members are exchanged with them: traffic between halls is charged for.
+	// Polls wait as long as within a hall: with three times that, state in other halls than
+	// the reader's became so old in transit that standbys read the store (24 gateways, half
+	// a minute without changes: 106 calls to the store instead of 66).
 	otherHallFactor = 3
-	// initialKeepTime is that time for a gateway that has just begun, and newFor how long
-	// it counts as such: it knows few others yet.
+	// initialKeepTime replaces neighbourKeepTime during the initialPeriod after a gateway's
+	// start, while it knows few others.
 	initialKeepTime = 1500 * time.Millisecond
 	initialPeriod   = 3 * time.Second
-	// seedStagger is how much later each further seed is asked by a gateway that knows
-	// nothing. A seed answers in some milliseconds.
+	// seedStagger is how much later each further seed is asked by a gateway without any
+	// state. A seed answers within some milliseconds.
 	seedStagger = 30 * time.Millisecond
-	// hallLinkSlot is the place that links halls, and regionsPlace the one that links
+	// hallLinkSlot is the slot that links halls, and regionLinkSlot the one that links
 	// regions, so that a gateway may do both.
 	hallLinkSlot   = 0
 	regionLinkSlot = 1
 )
 
-// drawNeighbour draws who has a place next: a gateway of the own hall or, for some
-// gateways, of another; without any, the seeds are tried in turn, whose ids are not
-// known. At the start the places ask different seeds, one after the other.
+// drawNeighbour draws the next neighbour for a slot: a gateway of the own hall or, on some
+// gateways, of another one. If none is known, the seeds, whose ids are unknown, are tried
+// in turn; right after the start the slots try different seeds, one after the other.
 func (f *Follower) drawNeighbour(slot int) (*neighbour, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,7 +57,7 @@
 	return n, n.peer.Peer != ""
 }
 
-// keepTime is how long a neighbour that is drawn now is kept; the lock is held.
+// keepTime returns how long a neighbour that is drawn now is kept; the lock is held.
 func (f *Follower) keepTime(now time.Time) time.Duration {
 	if now.Sub(f.started) < initialPeriod {
 		return f.jittered(initialKeepTime)
@@ -64,7 +65,8 @@
 	return f.jittered(neighbourKeepTime)
 }
 
-// hallFactor is how much longer a neighbour is kept, and members are not swapped with it.
+// hallFactor returns the factor by which a neighbour is kept longer, and members are
+// exchanged with it less often.
 func (f *Follower) hallFactor(n *neighbour) time.Duration {
 	if n.peer.Hall != f.options.Self.Hall {
 		return otherHallFactor
@@ -72,14 +74,14 @@
 	return 1
 }
 
-// jittered draws a time between two and four thirds of one, so that what gateways do
-// regularly does not fall into step.
+// jittered returns a random time between two and four thirds of d, so that the periodic
+// work of gateways does not synchronize.
 func (f *Follower) jittered(d time.Duration) time.Duration {
 	return 2*d/3 + time.Duration(f.options.Random()*float64(2*d/3))
 }
 
-// neighbourScope says where to look for a neighbour: only one place links halls and one
-// regions, and not those of all gateways. The lock is held.
+// neighbourScope returns where to look for a neighbour: one slot links halls and one
+// regions, on some of the gateways only. The lock is held.
 func (f *Follower) neighbourScope(now time.Time, slot int) peers.Where {
 	switch {
 	case slot == hallLinkSlot && f.view.LinksHalls(now):
@@ -91,7 +93,7 @@
 	}
 }
 
-// isNeighbour says whether a gateway has a place; the lock is held.
+// isNeighbour reports whether a gateway has a slot; the lock is held.
 func (f *Follower) isNeighbour(id string) bool {
 	for _, other := range f.neighbourIDs {
 		if other == id {
@@ -101,8 +103,8 @@
 	return false
 }
 
-// nextSeed gives the next seed that is not this gateway; empty if there is none.
-// The lock is held.
+// nextSeed returns the next seed that is not this gateway; empty if there is none. The lock
+// is held.
 func (f *Follower) nextSeed() string {
 	seeds := f.options.Seeds()
 	for range seeds {
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -14,7 +14,7 @@
 
 var errNoAnswer = errors.New("the gateway did not answer in time")
 
-// askOnce asks a gateway a question that does not wait and works its answer in.
+// askOnce sends a gateway a request that does not wait, and applies its reply.
 func (f *Follower) askOnce(ctx context.Context, peer member.Box, args UpdateArgs) (reply *UpdateReply, err error) {
 	l, err := f.links.acquire(ctx, peer.Peer, f.dialSlack(peer))
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// handleReply works the answer to a question in that was asked at a moment.
+// handleReply applies the reply to a request that was sent at the time asked.
 func (f *Follower) handleReply(peer member.Box, call *rpc.Call, asked time.Time) (*UpdateReply, error) {
 	if call.Error != nil {
 		return nil, call.Error
@@ -47,7 +47,7 @@
 	return reply, f.applyReply(peer, reply)
 }
 
-// agedBy is the age, some time later, of what had an age.
+// agedBy returns an age after some more time has passed.
 func agedBy(age, later time.Duration) time.Duration {
 	if age == freshness.Never {
 		return age
@@ -55,7 +55,8 @@
 	return age + later
 }
 
-// applyReply works an answer in. What it only says to be missing here is asked for.
+// applyReply applies a reply. What is missing here according to the reply, but not
+// contained in it, is requested.
 func (f *Follower) applyReply(peer member.Box, reply *UpdateReply) error {
 	if err := reply.unpack(); err != nil {
 		return err
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// unpack gives back what was packed for the way.
+// unpack decompresses the compressed parts of a reply.
 func (r *UpdateReply) unpack() error {
 	if r.Delta.Config != nil {
 		body, err := inflate(r.Delta.Config)
@@ -91,9 +92,9 @@
 	return err
 }
 
-// comparePosition holds another gateway's position against the own: what that one says of its
-// age holds here, too, unless something is missing, which is asked for. The lock is
-// held.
+// comparePosition compares another gateway's position with this gateway's own: that
+// gateway's age holds here, too, unless something is missing here, which is then requested.
+// The lock is held.
 func (f *Follower) comparePosition(now time.Time, peer member.Box, reply *UpdateReply) {
 	theirs := reply.Delta.To
 	if f.catalog.Position().Lacks(theirs) {
@@ -110,21 +111,21 @@
 	f.confirm(now.Add(-reply.Age), reply.Origin)
 }
 
-// canConfirm says whether an update of a gateway at a position can confirm all that is
-// believed here: one of an earlier version follows no evacuations, or no rollouts.
+// canConfirm reports whether a gateway at a position can confirm all of the state here: a
+// gateway of an earlier version follows no evacuations, or no rollouts.
 func (f *Follower) canConfirm(theirs catalog.Position) bool {
 	evacuations := theirs.Evacuations > 0 || !f.options.Source.followsEvacuations()
 	rollouts := theirs.Rollouts > 0 || !f.options.Source.followsRollouts()
 	return evacuations && rollouts
 }
 
-// confirm notes that what is believed was all that the store held at a moment, by
-// the reading of the gateway origin; the lock is held.
+// confirm records that the known state was identical to the store's at some time, by a read
+// of the gateway origin; the lock is held.
 func (f *Follower) confirm(at time.Time, origin string) {
 	f.wakeIfStale(f.fresh.Confirm(at, origin))
 }
 
-// noteTries takes in which tries to read the store another gateway knows of; the lock is
+// noteTries adds the attempts to read the store that another gateway knows of; the lock is
 // held.
 func (f *Follower) noteTries(now time.Time, tries []reader.Try) {
 	changed := false
@@ -135,6 +136,6 @@
 		}
 	}
 	if changed {
-		f.wake() // others have to learn of it, and the reading may no longer fall to this one
+		f.wake() // to forward it, and since this gateway may no longer have to read the store
 	}
 }
--- a/internal/gateway/discovery/fetch.go
+++ b/internal/gateway/discovery/fetch.go
@@ -10,26 +10,28 @@
 )
 
 const (
-	// offerQueueSize is how many offers wait to be taken up: some more than a gateway has
-	// neighbours on either side. Another is dropped; it comes again.
+	// offerQueueSize is how many offers are queued until they are fetched: somewhat more
+	// than a gateway has neighbours in both directions. Further offers are dropped; they
+	// are repeated.
 	offerQueueSize = 8
-	// busyPause is the wait, on average, before a gateway that was busy is asked again.
-	// The time for which one is busy with a list of all targets.
+	// busyPause is the mean pause before a gateway that was busy is asked again: the time
+	// for which a gateway is busy sending a list of all targets.
 	busyPause = 15 * time.Millisecond
 )
 
-// offer names another gateway that is further than this one was.
+// offer names another gateway that advertised a later position than this one's, or a state
+// that was confirmed later.
 type offer struct {
 	peer member.Box
 	at   catalog.Position
-	// fresher says that it confirmed its knowledge later than this one, too.
+	// fresher says that its position is not later, but its state was confirmed later.
 	fresher bool
 }
 
-// noteOffer puts an offer where fetch finds it; the lock is held.
+// noteOffer queues an offer for fetch; the lock is held.
 func (f *Follower) noteOffer(now time.Time, o offer) {
 	if o.at.Targets > 0 {
-		f.lastOfferAt = now // all that a gateway needs to begin with
+		f.lastOfferAt = now // that gateway can send everything needed to start serving
 	}
 	offers := f.offers
 	if f.inOtherRegion(o.peer) {
@@ -41,17 +43,19 @@
 	}
 }
 
-// fetchOwnRegion is the duty of asking gateways of the own region for what is missing here.
-// It does not wait for other regions, whose answers may take a thousand times as long.
+// fetchOwnRegion is the background task that requests missing state from gateways of the
+// own region. It does not wait for other regions, whose replies may take a thousand times
+// as long.
 func (f *Follower) fetchOwnRegion(ctx context.Context) error { return f.fetch(ctx, f.offers) }
 
-// fetchOtherRegions is the duty of asking gateways of other regions.
+// fetchOtherRegions is the background task that requests missing state from gateways of
+// other regions.
 func (f *Follower) fetchOtherRegions(ctx context.Context) error {
 	return f.fetch(ctx, f.otherRegionOffers)
 }
 
-// fetch asks for what is missing here, one gateway at a time, so that each update comes
-// once, whoever else offered it.
+// fetch requests what is missing here from one gateway at a time, so that each update is
+// received once, however many gateways offer it.
 func (f *Follower) fetch(ctx context.Context, offers chan offer) error {
 	for {
 		select {
@@ -63,10 +67,10 @@
 	}
 }
 
-// fetchOffer asks a gateway for what it offered, unless it is no longer missing.
+// fetchOffer requests from a gateway what it offered, unless it is no longer missing.
 func (f *Follower) fetchOffer(ctx context.Context, o offer) {
-	args, worth := f.fetchArgs(o)
-	if !worth {
+	args, needed := f.fetchArgs(o)
+	if !needed {
 		return
 	}
 	reply, err := f.askOnce(ctx, o.peer, args)
@@ -75,14 +79,15 @@
 		f.noteLost(o.peer, err)
 	case reply.Busy:
 		f.mu.Lock()
-		f.noteOffer(f.options.Clock(), o) // behind those of others
+		f.noteOffer(f.options.Clock(), o) // after the other queued offers
 		f.mu.Unlock()
 		pause.For(ctx, f.jittered(busyPause))
 	}
 }
 
-// fetchArgs says whether an offer is still worth taking up, and how to ask for it.
-func (f *Follower) fetchArgs(o offer) (args UpdateArgs, worth bool) {
+// fetchArgs returns the arguments that request an offer, and whether the offer is still
+// needed.
+func (f *Follower) fetchArgs(o offer) (args UpdateArgs, needed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
--- a/internal/gateway/discovery/heal.go
+++ b/internal/gateway/discovery/heal.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// healInterval is how often, on average, a gateway is asked that did not answer and
-	// that nobody has seen since.
+	// healInterval is the mean time between two requests to gateways that did not answer
+	// and that nobody has seen since.
 	healInterval = 2 * time.Second
-	// healSeedShare is how often a seed is asked instead: a cut that lasted longer than
-	// what is remembered heals by them. Of a hundred gateways one asks each
-	// second.
+	// healSeedShare is the share of these requests that go to a seed instead, which heals a
+	// partition that lasted longer than lost gateways are remembered. In a fleet of a
+	// hundred gateways, one asks a seed each second.
 	healSeedShare = 0.02
 )
 
-// heal is the duty of looking for gateways that were cut off from this one.
+// heal is the background task that looks for gateways that were partitioned from this one.
 func (f *Follower) heal(ctx context.Context) error {
 	for pause.For(ctx, f.jittered(healInterval)) {
 		peer := f.lostPeer()
 		if peer.Peer == "" {
 			continue
 		}
-		// One that is still gone is no news: it was lost before.
+		// Its loss has been logged before.
 		if _, err := f.askOnce(ctx, peer, f.memberSwapArgs()); err != nil {
-			f.options.Log.Debug("peer still silent", "address", peer.Peer, "error", err.Error())
+			f.options.Log.Debug("lost peer is still unreachable", "address", peer.Peer, "error", err.Error())
 		}
 	}
 	return nil
 }
 
-// lostPeer is a gateway that may be found again; without an address if there is none.
+// lostPeer returns a gateway that may be reachable again; without an address if there is
+// none.
 func (f *Follower) lostPeer() member.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,7 +45,8 @@
 	return box
 }
 
-// memberSwapArgs swaps members and reports how far this gateway is.
+// memberSwapArgs returns arguments that exchange members and advertise this gateway's
+// position.
 func (f *Follower) memberSwapArgs() UpdateArgs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/discovery/links.go
+++ b/internal/gateway/discovery/links.go
@@ -10,32 +10,32 @@
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
 
-// dialSlackDivisor is by how much a connection must come quicker than the answer to a question
-// that does not wait, since nobody has to think about it. Where a third is cut off, those
-// inside draw two out of three times a gateway that can't be reached, and lose that time.
+// dialSlackDivisor is by how much less time a connection may take than the reply to a
+// request that does not wait, since connecting involves no work on the other side. With a
+// third of the fleet cut off, the gateways inside draw an unreachable gateway two out of
+// three times, and lose that time with each.
 const dialSlackDivisor = 3
 
 const (
-	// idleTimeout is how long a connection stays open that nobody uses: whoever has sent this
-	// gateway something mostly does so again, and the codec describes all types on each new
+	// idleTimeout is how long an unused connection stays open: a peer that was just sent
+	// something is usually needed again soon, and the codec describes all types on each new
 	// connection.
 	idleTimeout = 5 * time.Second
-	// idleCheckEvery is the time between two looks for connections that have been idle for
-	// long.
+	// idleCheckEvery is the time between two checks for idle connections.
 	idleCheckEvery = time.Second
-	// maxIdle bounds how many connections stay open that nobody uses.
+	// maxIdle bounds the number of idle connections.
 	maxIdle = 8
 )
 
-// links are the connections to other gateways, one an address, shared by the duties
-// that use them and kept for a while after the last of these.
+// links holds the connections to other gateways, one for each address, which the background
+// tasks share and which stay open for a while after their last use.
 type links struct {
 	dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	clock func() time.Time
 
 	mu   sync.Mutex
 	open map[string]*link
-	// closed is whether none is kept any more that nobody uses.
+	// closed says that connections are no longer kept open after their last use.
 	closed bool
 }
 
@@ -44,7 +44,7 @@
 	address string
 	client  *rpc.Client
 	users   int
-	// idleSince is when the last of its users released it.
+	// idleSince is when its last user released it.
 	idleSince time.Time
 }
 
@@ -52,7 +52,7 @@
 	return &links{dial: dial, clock: clock, open: map[string]*link{}}
 }
 
-// watchedConn calls a function once its other end has closed it or it broke.
+// watchedConn calls a function once its other end has closed it or it has failed.
 type watchedConn struct {
 	net.Conn
 	onEnd func()
@@ -66,8 +66,8 @@
 	return n, err
 }
 
-// acquire gives the connection to an address, and makes it within a time if there is
-// none. It must be released.
+// acquire returns the connection to an address, and dials it with a timeout if there is
+// none. The caller must release it.
 func (ls *links) acquire(ctx context.Context, address string, within time.Duration) (*link, error) {
 	if l := ls.join(address); l != nil {
 		return l, nil
@@ -83,7 +83,7 @@
 	return ls.add(l), nil
 }
 
-// join gives a connection that stands already; nil if there is none.
+// join returns an existing connection; nil if there is none.
 func (ls *links) join(address string) *link {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -94,7 +94,8 @@
 	return l
 }
 
-// add keeps a new connection for others to join, unless another was quicker.
+// add registers a new connection for others to join, unless another one was registered
+// first.
 func (ls *links) add(l *link) *link {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -104,14 +105,14 @@
 	return l
 }
 
-// forget takes a connection that has ended off the list.
+// forget removes a connection that has ended.
 func (ls *links) forget(l *link) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	ls.drop(l)
 }
 
-// release gives a connection back; one that broke is not given to anybody any more.
+// release returns a connection; one that failed is not used again.
 func (ls *links) release(l *link, broke bool) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -122,18 +123,17 @@
 	}
 }
 
-// drop takes a connection off the list and closes it unless somebody uses it; the lock is
-// held.
+// drop removes a connection and closes it unless it is in use; the lock is held.
 func (ls *links) drop(l *link) {
 	if ls.open[l.address] == l {
 		delete(ls.open, l.address)
 	}
 	if l.users == 0 {
-		_ = l.client.Close() // that of a peer which is gone needs no more
+		_ = l.client.Close() // nothing to do if the peer is gone already
 	}
 }
 
-// idleCount is how many connections nobody uses; the lock is held.
+// idleCount returns the number of unused connections; the lock is held.
 func (ls *links) idleCount() (count int) {
 	for _, l := range ls.open {
 		if l.users == 0 {
@@ -143,8 +143,8 @@
 	return count
 }
 
-// closeIdle is the duty of closing connections that nobody has used for a while, and in the
-// end all of them.
+// closeIdle is the background task that closes connections that were idle for a while, and
+// at the end all of them.
 func (ls *links) closeIdle(ctx context.Context) error {
 	for pause.For(ctx, idleCheckEvery) {
 		ls.closeUnused(idleTimeout)
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// closeUnused closes the connections that nobody has used for a time.
+// closeUnused closes the connections that were unused for a time.
 func (ls *links) closeUnused(unused time.Duration) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -168,7 +168,7 @@
 	}
 }
 
-// ask begins a call, whose end is signalled on the channel that it holds.
+// ask starts a call; its Done channel signals the end.
 func (l *link) ask(args UpdateArgs) *rpc.Call {
 	return l.client.Go(methodNews, args, &UpdateReply{}, make(chan *rpc.Call, 1))
 }
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -11,43 +11,46 @@
 )
 
 const (
-	// staleNeighbourKeepTime is how long a neighbour is kept that has grown out of date like this
-	// gateway itself. Somebody fresher is found in time for two failures.
+	// staleNeighbourKeepTime is how long a neighbour is kept that is as stale as this
+	// gateway itself. It is short enough to find a fresher one in time even after two
+	// failures.
 	staleNeighbourKeepTime = 500 * time.Millisecond
-	// memberSwapInterval is how often two neighbours swap whom they have seen:
-	// below the time for which a sighting counts (core/gateway/peers), in other
-	// halls as well.
+	// memberSwapInterval is how often two neighbours exchange the gateways that they have
+	// seen: less than the time for which a sighting counts (core/gateway/peers), also
+	// between halls.
 	memberSwapInterval = 1500 * time.Millisecond
-	// minAskInterval is the least time between two questions to a neighbour. Whatever
-	// two gateways may have to exchange, it can't keep a link or a core busy.
+	// minAskInterval is the least time between two polls of a neighbour. It keeps any
+	// amount of updates between two gateways from saturating a link or a core.
 	minAskInterval = 20 * time.Millisecond
-	// noPeerPause is the wait before asking again where nobody could help.
+	// noPeerPause is the pause before the next try if no gateway could be reached.
 	noPeerPause = 100 * time.Millisecond
 )
 
-// neighbour is one of the places for another gateway that this one exchanges with.
+// neighbour is another gateway that this one exchanges state with, in one of its slots.
 type neighbour struct {
 	slot int
-	// peer is who has the place; without an id it is a seed.
+	// peer is the gateway; without an id it is a seed.
 	peer member.Box
-	// keepUntil is when another is drawn.
+	// keepUntil is when another neighbour is drawn.
 	keepUntil time.Time
-	// position is how far that gateway was when it last spoke or was sent something, and confirmed when
-	// its knowledge had last been confirmed then.
+	// position is the last known position of that gateway: the one it last advertised or
+	// was last sent. confirmedAt is when its state had last been confirmed then.
 	position    catalog.Position
 	confirmedAt time.Time
-	// membersSwappedAt is when members were last membersSwappedAt.
+	// membersSwappedAt is when members were last exchanged.
 	membersSwappedAt time.Time
-	// sentTriesVersion is which tries were last sent, and sentLeaving whether this gateway's
-	// own leaving was.
+	// sentTriesVersion is the version of the tries that were last sent, and sentLeaving
+	// whether the neighbour was notified that this gateway is leaving.
 	sentTriesVersion int
 	sentLeaving      bool
-	// receivedUpdates is how far its updates came here on requests that end targets and on limits
-	// of targets, and sentUpdates how far it was sent those known here.
+	// receivedUpdates is the position up to which this gateway received the neighbour's
+	// updates beside the catalog (requests that terminate targets, limits of targets);
+	// sentUpdates is the position up to which the neighbour was sent this gateway's.
 	receivedUpdates, sentUpdates positions
 }
 
-// exchangeWithNeighbours is the duty of exchanging with one neighbour after the other.
+// exchangeWithNeighbours is the background task that exchanges state with the neighbours of
+// a slot, one after the other.
 func (f *Follower) exchangeWithNeighbours(ctx context.Context, slot int) error {
 	for ctx.Err() == nil {
 		n, ok := f.drawNeighbour(slot)
@@ -62,8 +65,8 @@
 	return nil
 }
 
-// exchangeUntilReplaced exchanges with a neighbour until it is time for another, and says whether to
-// draw one at once.
+// exchangeUntilReplaced exchanges state with a neighbour until it has to be replaced, and
+// reports whether to draw the next one at once.
 func (f *Follower) exchangeUntilReplaced(ctx context.Context, n *neighbour) bool {
 	l, err := f.links.acquire(ctx, n.peer.Peer, f.dialSlack(n.peer))
 	if err != nil {
@@ -86,8 +89,8 @@
 	return n.peer.ID != "" || !f.isAlone()
 }
 
-// shouldKeep says whether to go on with a neighbour, be it among those that are known still
-// or not; a seed is asked once.
+// shouldKeep reports whether to keep a neighbour, even if it is no longer in the view of
+// known gateways; a seed is asked once.
 func (f *Follower) shouldKeep(n *neighbour) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,15 +101,15 @@
 	return now.Before(n.keepUntil) && !f.view.Avoids(now, n.peer.ID)
 }
 
-// isAlone says whether no other gateway is known that may be asked.
+// isAlone reports whether no other gateway is known that may be asked.
 func (f *Follower) isAlone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Alone(f.options.Clock())
 }
 
-// exchange asks a neighbour once and works its answer in. While the question waits,
-// what the neighbour lacks is sent to it.
+// exchange polls a neighbour once and applies its reply. While the poll waits, it pushes to
+// the neighbour what that lacks.
 func (f *Follower) exchange(ctx context.Context, l *link, n *neighbour, wait time.Duration) (*UpdateReply, error) {
 	asked := f.options.Clock()
 	call := l.ask(f.pollArgs(n, wait))
@@ -126,8 +129,9 @@
 	}
 }
 
-// pollArgs asks a neighbour to speak once it is further than it was, or than this
-// gateway; now and then members are swapped.
+// pollArgs returns the arguments of a poll, which a neighbour answers once its position is
+// later than its last known one or this gateway's; members are exchanged every now and
+// then.
 func (f *Follower) pollArgs(n *neighbour, wait time.Duration) UpdateArgs {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,7 +140,7 @@
 	args.Wait, args.Digest = wait, !f.requestsDelta(n.peer)
 	args.AsksFatal, args.FatalAt = true, f.withAllKinds(n.receivedUpdates).String()
 	if args.Digest && args.At.Lacks(n.position) {
-		args.At = n.position // what is missing here is asked for already
+		args.At = n.position // what is missing here has been requested already
 	}
 	args.Age = min(args.Age, now.Sub(n.confirmedAt))
 	if now.Sub(n.membersSwappedAt) > memberSwapInterval*f.hallFactor(n) {
@@ -146,7 +150,8 @@
 	return args
 }
 
-// ownStateArgs is what this gateway says of its own knowledge; the lock is held.
+// ownStateArgs returns arguments with this gateway's position and the age of its state; the
+// lock is held.
 func (f *Follower) ownStateArgs(now time.Time) UpdateArgs {
 	return UpdateArgs{
 		At: f.catalog.Position(), Age: f.fresh.Age(now), Tries: f.tries.Published(now),
@@ -154,15 +159,15 @@
 	}
 }
 
-// push sends a neighbour, without waiting for its answer, what it lacks, if it may be
-// sent that now. It returns what is closed when there may be something new to send.
-func (f *Follower) push(l *link, n *neighbour, may bool) (changed chan struct{}) {
+// push sends a neighbour what it lacks, if it may be sent that now, without waiting for the
+// reply. It returns a channel that is closed when there may be something new to send.
+func (f *Follower) push(l *link, n *neighbour, allowed bool) (changed chan struct{}) {
 	f.mu.Lock()
 	now := f.options.Clock()
-	worth := may && f.hasUpdateFor(now, n)
+	send := allowed && f.hasUpdateFor(now, n)
 	args := f.ownStateArgs(now)
 	args.Digest, args.From = true, f.view.Self()
-	if worth {
+	if send {
 		args.News, args.Base = f.deltaFor(n), n.position
 		n.position, n.confirmedAt = args.At, now.Add(-min(args.Age, neverConfirmedAge))
 		n.sentTriesVersion, n.sentLeaving = f.tries.Version(), args.From.Leaving
@@ -170,29 +175,29 @@
 	}
 	changed = f.changed
 	f.mu.Unlock()
-	if worth {
-		l.ask(args) // the question that waits shows whether the neighbour is there
+	if send {
+		l.ask(args) // the pending poll shows whether the neighbour is reachable
 	}
 	return changed
 }
 
-// hasUpdateFor says whether a neighbour lacks something that this gateway has; the
-// lock is held.
+// hasUpdateFor reports whether a neighbour lacks something that this gateway has; the lock
+// is held.
 func (f *Follower) hasUpdateFor(now time.Time, n *neighbour) bool {
-	leaves := f.view.Self().Leaving && !n.sentLeaving
-	further := n.position.Lacks(f.catalog.Position())
+	leaving := f.view.Self().Leaving && !n.sentLeaving
+	later := n.position.Lacks(f.catalog.Position())
 	tries := f.tries.Version() != n.sentTriesVersion
-	return leaves || further || tries || f.lacksUpdates(f.withAllKinds(n.sentUpdates)) || f.fresh.Confirms(now, now.Sub(n.confirmedAt))
+	return leaving || later || tries || f.lacksUpdates(f.withAllKinds(n.sentUpdates)) || f.fresh.Confirms(now, now.Sub(n.confirmedAt))
 }
 
-// recordReply notes how far a neighbour is, and logs who it is if it is new. One that
-// is as far out of date as this gateway is soon replaced.
+// recordReply records the position of a neighbour, and logs the neighbour if it is new. One
+// that is as stale as this gateway is replaced soon.
 func (f *Follower) recordReply(n *neighbour, reply *UpdateReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	if first := n.confirmedAt.IsZero(); first && n.peer.ID != "" {
-		f.options.Log.Info("news come from", "peer", n.peer.ID, "address", n.peer.Peer, "hall", n.peer.Hall, "age_s", f.loggedAge())
+		f.options.Log.Info("exchanging state with a new neighbour", "peer", n.peer.ID, "address", n.peer.Peer, "hall", n.peer.Hall, "age_s", f.loggedAge())
 	}
 	n.position, n.receivedUpdates = reply.Delta.To, parsePositions(reply.FatalAt)
 	n.confirmedAt = now.Add(-min(reply.Age, neverConfirmedAge))
@@ -201,7 +206,7 @@
 	}
 }
 
-// neverConfirmedAge represents the age of what nobody has confirmed.
+// neverConfirmedAge stands for the age of a state that was never confirmed.
 const neverConfirmedAge = time.Hour
 
 func earlier(a, b time.Time) time.Time {
@@ -211,7 +216,7 @@
 	return a
 }
 
-// noteLost notes, and logs, that a gateway did not answer; one of which only the
+// noteLost records, and logs, that a gateway did not answer; a gateway of which only the
 // address is known is not counted.
 func (f *Follower) noteLost(peer member.Box, err error) {
 	if peer.ID == "" {
@@ -221,12 +226,13 @@
 	defer f.mu.Unlock()
 	f.options.Metrics.PeerLost()
 	f.view.Fail(f.options.Clock(), peer.ID)
-	f.wake() // the reading may fall to this gateway now
+	f.wake() // this gateway may have to read the store now
 	f.options.Log.Info("peer lost", "peer", peer.ID, "address", peer.Peer, "error", err.Error())
 }
 
-// observeSightings takes in whom another gateway, the first of the sightings, has learnt of, and
-// what it says of itself by Observe or Called of the view; the lock is held.
+// observeSightings adds the gateways that another gateway, the first of the sightings, has
+// seen to the view, and that gateway's own entry by Observe or Called of the view; the lock
+// is held.
 func (f *Follower) observeSightings(now time.Time, sightings []peers.Sighting, observe observer) {
 	if len(sightings) == 0 {
 		return
@@ -235,10 +241,11 @@
 	f.view.Sighted(now, sightings[1:])
 }
 
-// observer takes in what a gateway says of itself and reports whether it is back.
+// An observer adds a gateway's own entry to the view and reports whether that gateway is
+// back.
 type observer func(now time.Time, box member.Box) (back bool)
 
-// observePeer takes in what a gateway says of itself; the lock is held.
+// observePeer adds a gateway's own entry to the view; the lock is held.
 func (f *Follower) observePeer(now time.Time, box member.Box, observe observer) {
 	alone := f.view.Alone(now)
 	if observe(now, box) {
@@ -248,6 +255,6 @@
 		f.firstPeerAt = now
 	}
 	if alone || box.Leaving {
-		f.wake() // there is somebody to exchange with, or to be replaced
+		f.wake() // there is a gateway to exchange state with, or one to replace
 	}
 }
--- a/internal/gateway/discovery/pack.go
+++ b/internal/gateway/discovery/pack.go
@@ -10,17 +10,17 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// maxPacked bounds what another gateway sends packed, in bytes when unpacked.
+// maxPacked bounds the decompressed size of what another gateway sends, in bytes.
 const maxPacked = 64 << 20
 
-// packedConfig is a configuration's body as gateways send it to each other, kept so
-// that each version is packed once.
+// packedConfig is a configuration's body as gateways send it to each other, cached so that
+// each version is compressed once.
 type packedConfig struct {
 	version uint64
 	body    []byte
 }
 
-// of packs the body of a version.
+// of returns the compressed body of a version.
 func (p *packedConfig) of(version uint64, body []byte) ([]byte, error) {
 	if p.version == version && p.body != nil {
 		return p.body, nil
@@ -36,14 +36,14 @@
 	return packed, nil
 }
 
-// packedTargets is the list of all targets likewise, kept for a revision of the store.
-// 719 targets made by its test are 11 kB.
+// packedTargets caches the compressed list of all targets at a revision of the store in the
+// same way. 719 targets like those of its test take 11 kB.
 type packedTargets struct {
 	revision uint64
 	body     []byte
 }
 
-// of packs the list as it stood at a revision.
+// of returns the compressed list at a revision.
 func (p *packedTargets) of(revision uint64, changes []catalog.Change) ([]byte, error) {
 	if p.revision == revision && p.body != nil {
 		return p.body, nil
@@ -56,7 +56,7 @@
 	return packed, nil
 }
 
-// unpackChanges gives back the list.
+// unpackChanges decompresses and decodes a list of targets.
 func unpackChanges(body []byte) ([]catalog.Change, error) {
 	plain, err := inflate(body)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	var changes []catalog.Change
 	if err := gob.NewDecoder(bytes.NewReader(plain)).Decode(&changes); err != nil {
-		return nil, fmt.Errorf("a peer's list of targets can't be decoded: %w", err)
+		return nil, fmt.Errorf("decoding a peer's list of targets: %w", err)
 	}
 	return changes, nil
 }
@@ -84,14 +84,14 @@
 	return out.Bytes(), nil
 }
 
-// inflate gives back what was packed.
+// inflate decompresses a body.
 func inflate(body []byte) ([]byte, error) {
 	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(body)), maxPacked+1))
 	if err != nil {
-		return nil, fmt.Errorf("what a peer sent can't be unpacked: %w", err)
+		return nil, fmt.Errorf("decompressing a peer's message: %w", err)
 	}
 	if len(out) > maxPacked {
-		return nil, fmt.Errorf("what a peer sent is longer than %d bytes", maxPacked)
+		return nil, fmt.Errorf("a peer's message is longer than %d bytes when decompressed", maxPacked)
 	}
 	return out, nil
 }
--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -7,9 +7,9 @@
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
 
-// ping is the duty of confirming, between the answers of the watches, that the
-// store can be reached, as long as other gateways rely on this one: a watch
-// whose path is cut waits in silence.
+// ping is the background task that confirms, between the responses of the watches, that the
+// store is reachable, as long as other gateways rely on this one: a watch whose connection
+// is cut keeps waiting without an error.
 func (f *Follower) ping(ctx context.Context) error {
 	for pause.For(ctx, f.options.Timing.PingInterval) {
 		began := f.options.Clock()
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// hasDependents says whether this gateway's watches are in order and others ask for
+// hasDependents reports whether this gateway's watches are working and others poll it for
 // what they report.
 func (f *Follower) hasDependents(now time.Time) bool {
 	f.mu.Lock()
@@ -32,16 +32,16 @@
 	return f.fresh.Reads(now) && f.isAsked(now)
 }
 
-// isAsked says whether other gateways learn of updates from this one: they ask it, or it
-// is linked to one; the lock is held.
+// isAsked reports whether other gateways receive updates from this one: they poll it, or it
+// has neighbours; the lock is held.
 func (f *Follower) isAsked(now time.Time) bool {
 	timing := f.options.Timing
 	asked := !f.lastAskedAt.IsZero() && now.Sub(f.lastAskedAt) < timing.PollWait+timing.PollSlack
 	return asked || f.neighbourIDs != [neighbourCount]string{}
 }
 
-// recordPing works in how a ping that began at a moment ended. One that failed is
-// counted and no more: the watches find out whether the store is lost.
+// recordPing records the result of a ping that began at a time. A failure is only counted:
+// the watches detect whether the store is lost.
 func (f *Follower) recordPing(began time.Time, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -9,23 +9,23 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// fromStore names the store in log lines as where something was learnt, fromGlance a
-// stale read at it, fromTarget a target that said it of itself.
+// fromStore names the store in log lines as the origin of a change, fromStaleRead a stale
+// read of it, and fromTarget a target that signalled the change itself.
 const (
 	fromStore     = "store"
 	fromStaleRead = "glance"
 	fromTarget    = "target"
 )
 
-// change changes the catalog and says what of it changed.
+// A change modifies the catalog and reports what of it changed.
 type change func(c *catalog.Catalog) catalog.Changed
 
-// apply makes a change to the catalog and publishes what came of it.
-func (f *Follower) apply(from string, make change) {
+// apply makes a change to the catalog and publishes the result.
+func (f *Follower) apply(from string, modify change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.catalog.Position()
-	changed := make(f.catalog)
+	changed := modify(f.catalog)
 	if changed.Config {
 		f.decode(from)
 	}
@@ -44,9 +44,9 @@
 	}
 }
 
-// Drain takes in that targets said themselves, in answers, that they leave.
+// Drain marks targets as leaving that signalled in responses that they leave.
 func (f *Follower) Drain(lives []catalog.Life) {
-	lives = slices.DeleteFunc(lives, f.Snapshot().IsLeaving) // they say so in each answer
+	lives = slices.DeleteFunc(lives, f.Snapshot().IsLeaving) // they signal it in each response
 	if len(lives) == 0 {
 		return
 	}
@@ -69,8 +69,8 @@
 	f.options.Log.Info("configuration in force", "version", table.Version(), "from", from)
 }
 
-// publish makes the snapshot that the data path uses: without targets that leave, and
-// without those of halls that are evacuated; the lock is held.
+// publish creates the snapshot for the data path, without targets that leave and without
+// those of evacuated halls; the lock is held.
 func (f *Follower) publish(from string) {
 	before := f.published.Load().ByService()
 	targets, evacuated := map[string][]catalog.Target{}, map[string]int{}
@@ -95,7 +95,7 @@
 	}
 }
 
-// logEvacuations writes which halls are evacuated now; the lock is held.
+// logEvacuations logs which halls are evacuated now; the lock is held.
 func (f *Follower) logEvacuations(from string) {
 	halls := []string{}
 	for _, e := range f.catalog.Evacuations() {
@@ -104,43 +104,44 @@
 	f.options.Log.Info("evacuations changed", "halls", halls, "revision", f.catalog.Position().Evacuations, "from", from)
 }
 
-// EvacuatedHallCount is how many halls are believed to be evacuated.
+// EvacuatedHallCount returns how many halls are evacuated according to the known state.
 func (f *Follower) EvacuatedHallCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.catalog.Evacuations())
 }
 
-// TopRanked lists up to n gateways that rank first, this one among them if it does.
+// TopRanked returns up to n gateways that rank first, which may include this one.
 func (f *Follower) TopRanked(n int) []member.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.First(f.options.Clock(), n)
 }
 
-// TopRankedSightings is First as sightings that may be passed on to other gateways.
+// TopRankedSightings returns the gateways of TopRanked as sightings that may be forwarded
+// to other gateways.
 func (f *Follower) TopRankedSightings(n int) []peers.Sighting {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Ranked(f.options.Clock(), n)
 }
 
-// MergeSightings takes in whom another gateway has learnt of.
+// MergeSightings adds the gateways that another gateway has seen to the view.
 func (f *Follower) MergeSightings(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.Sighted(f.options.Clock(), sightings)
 }
 
-// GatewayCount is about how many gateways there are, this one among them.
+// GatewayCount returns the approximate number of gateways, including this one.
 func (f *Follower) GatewayCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.Size(f.options.Clock())
 }
 
-// logTargets writes which targets take requests now that did not before, and
-// which no longer do.
+// logTargets logs which targets started and which stopped taking requests with this
+// snapshot.
 func (f *Follower) logTargets(from string, before, now map[string][]catalog.Target) {
 	in, out := missingIDs(before, now), missingIDs(now, before)
 	if len(in)+len(out) == 0 {
@@ -149,7 +150,8 @@
 	f.options.Log.Info("targets changed", "in", in, "out", out, "revision", f.catalog.Position().Targets, "from", from)
 }
 
-// missingIDs lists the ids of the targets in all that some lacks, or has in another life.
+// missingIDs returns the ids of the targets in all that some lacks, or holds in another
+// incarnation.
 func missingIDs(some, all map[string][]catalog.Target) []string {
 	var ids []string
 	for service, targets := range all {
@@ -167,8 +169,8 @@
 	return ids
 }
 
-// loggedAge is the age of what is believed in seconds for a log line, -1 where
-// nothing was confirmed; the lock is held.
+// loggedAge returns the age of the known state in seconds for a log line, -1 if nothing was
+// confirmed; the lock is held.
 func (f *Follower) loggedAge() float64 {
 	if !f.fresh.Confirmed() {
 		return -1
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// minRoleCheckInterval and maxLook bound the time between two looks at whether the reading
-	// has fallen to this gateway.
+	// minRoleCheckInterval and maxRoleCheckInterval bound the time between two checks
+	// whether this gateway has to read the store.
 	minRoleCheckInterval = 20 * time.Millisecond
 	maxRoleCheckInterval = time.Second
-	// initialRetry is the first pause after a call that failed, and preferredRetry
-	// and otherRetry the longest, for gateways that others turn to first and for
-	// others. The store's rates bound what a whole fleet may try.
+	// initialRetry is the first pause after a failed call. maxPreferredRetry and
+	// maxOtherRetry are the longest, for the gateways that rank first as readers and for
+	// all others. The store's rate limits bound the retries of a whole fleet.
 	initialRetry      = 100 * time.Millisecond
 	maxPreferredRetry = time.Second
 	maxOtherRetry     = 2 * time.Second
-	// firstWatchWait is how long the first watch waits: hardly at all, so that what is
-	// believed is confirmed at once.
+	// firstWatchWait is how long the first watch waits: nearly not at all, so that the
+	// known state is confirmed at once.
 	firstWatchWait = time.Millisecond
-	// minWaitShare is the least share of its longest time that a watch waits: the
-	// waits vary, so that the watches of gateways don't end together.
+	// minWaitShare is the least share of its longest time that a watch waits: the waits
+	// vary, so that the watches of different gateways don't end at the same time.
 	minWaitShare = 0.8
 )
 
@@ -36,17 +36,17 @@
 type watch struct {
 	name  string
 	state *freshness.Watch
-	// delay is how long no call should be made though the reading falls to this
-	// gateway; the lock is held.
+	// delay returns for how long no call should be made although this gateway is a reader;
+	// the lock is held.
 	delay func(now time.Time) time.Duration
-	// call makes one call; whole asks for a list and not a watch.
+	// call makes one call; whole requests a list instead of a watch.
 	call func(ctx context.Context, whole bool) error
-	// urgent says that its changes are few and waited for: the next call follows at once,
-	// without a pause in which more may gather.
+	// urgent says that its changes are rare and needed at once: the next call follows
+	// immediately, without a pause in which more may accumulate.
 	urgent bool
 }
 
-// readConfig is the duty of watching the configuration in the store.
+// readConfig is the background task that watches the configuration in the store.
 func (f *Follower) readConfig(ctx context.Context) error {
 	return f.runWatch(ctx, &watch{
 		name: "config", state: f.fresh.Config(), call: f.callConfig,
@@ -54,22 +54,22 @@
 	})
 }
 
-// readTargets is the duty of watching the targets in the store.
+// readTargets is the background task that watches the targets in the store.
 func (f *Follower) readTargets(ctx context.Context) error {
 	return f.runWatch(ctx, &watch{name: "targets", state: f.fresh.Targets(), call: f.callTargets, delay: f.untilTargetsDue})
 }
 
-// readEvacuations is the duty of watching the evacuations in the store.
+// readEvacuations is the background task that watches the evacuations in the store.
 func (f *Follower) readEvacuations(ctx context.Context) error {
 	return f.runWatch(ctx, &watch{name: "evacuations", state: f.fresh.Evacuations(), call: f.callEvacuations, delay: f.untilConfigAnswers})
 }
 
-// readRollouts is the duty of watching the rollouts in the store.
+// readRollouts is the background task that watches the rollouts in the store.
 func (f *Follower) readRollouts(ctx context.Context) error {
 	return f.runWatch(ctx, &watch{name: "rollouts", state: f.fresh.Rollouts(), call: f.callRollouts, delay: f.untilConfigAnswers, urgent: true})
 }
 
-// runWatch makes the calls of a watch while the reading falls to this gateway.
+// runWatch makes the calls of a watch while this gateway is a reader.
 func (f *Follower) runWatch(ctx context.Context, w *watch) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval = initialRetry
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// untilNextCall is the pause after a call of a watch that ended so: none where a list
-// follows at once, one in which more changes may gather, or one that grows with each
-// failure.
+// untilNextCall returns the pause after a call of a watch that ended with an error or none:
+// 0 if a list is read next, the batch delay after changes, or an exponential back-off after
+// a failure.
 func (f *Follower) untilNextCall(err error, gathers bool, retry *backoff.ExponentialBackOff) time.Duration {
 	switch {
 	case err == nil && gathers:
@@ -111,8 +111,8 @@
 	}
 }
 
-// callStore makes one call of a watch. After one that failed it pings first: that
-// costs less while the store stays away.
+// callStore makes one call of a watch. After a failed call it pings the store first, which
+// costs less while the store remains unreachable.
 func (f *Follower) callStore(ctx context.Context, w *watch, whole bool) error {
 	timing := f.options.Timing
 	if failedBefore := f.beginCall(w); failedBefore {
@@ -130,22 +130,21 @@
 	return err
 }
 
-// beginCall notes that a call begins and says whether the one before it failed.
+// beginCall records the start of a call and reports whether the previous one failed.
 func (f *Follower) beginCall(w *watch) (failedBefore bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	if !w.state.InStep() && !f.fresh.Failing() {
-		// Not each time that it tries again: gateways that are turned away for long must
-		// not hold back those that are not.
+		// Not at each retry: gateways that the store refuses for long must not hold back
+		// those that it does not.
 		f.noteTry(now)
 	}
 	w.state.Begin(now)
 	return w.state.Failing()
 }
 
-// Results of a call to the store, and the calls that are no watches, as metrics name
-// them.
+// Results of calls to the store, and the calls other than watches, as named in metrics.
 const (
 	callPing      = "ping"
 	callStaleRead = "glance"
@@ -153,7 +152,7 @@
 	callFailed    = "failed"
 )
 
-// endCall works in how a call of a watch ended.
+// endCall records the result of a call of a watch.
 func (f *Follower) endCall(w *watch, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +165,7 @@
 		f.setFailing(w, nil)
 		f.wakeIfStale(f.fresh.Answered(w.state, now, f.options.Self.ID))
 	case errors.Is(err, ErrGone):
-		// The list that is asked for next shows whether the store is back.
+		// The list that is requested next shows whether the store is back.
 		f.options.Metrics.StoreCall(w.name, callAnswered)
 	case errors.Is(err, errRestoring):
 		f.options.Metrics.StoreCall(w.name, callAnswered)
@@ -183,14 +182,14 @@
 	}
 }
 
-// setFailing notes whether the latest call of a watch failed, and logs a change;
-// the lock is held.
+// setFailing records whether the latest call of a watch failed, and logs a change; the lock
+// is held.
 func (f *Follower) setFailing(w *watch, err error) {
 	if !w.state.SetFailing(err != nil) {
 		return
 	}
 	f.options.Log.Info("store", "watch", w.name, "lost", err != nil, "error", errorText(err))
-	f.wake() // those that ask this gateway, and the other watch, look anew
+	f.wake() // callers that wait for a reply, and the other watches, check again
 }
 
 func errorText(err error) string {
@@ -200,8 +199,8 @@
 	return err.Error()
 }
 
-// batchDelay is the pause after an update from the store. Where no other gateway asks
-// for them, nothing is lost on their way, and more may gather.
+// batchDelay returns the pause after an update from the store. While no other gateway polls
+// this one, no further hops follow, and more updates may accumulate.
 func (f *Follower) batchDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,7 +210,7 @@
 	return f.options.Timing.SoloBatchDelay
 }
 
-// maxRetry is the longest pause between two calls while the store fails.
+// maxRetry returns the longest pause between two calls while the store fails.
 func (f *Follower) maxRetry() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,8 +220,8 @@
 	return maxOtherRetry
 }
 
-// waitForChange waits until the reading may fall to this gateway: after a time, or when
-// something changes.
+// waitForChange waits until this gateway may have to read the store: for a time, or until
+// something changes. It returns false if the context ended.
 func (f *Follower) waitForChange(ctx context.Context, wait time.Duration) bool {
 	f.mu.Lock()
 	changed := f.changed
@@ -238,7 +237,7 @@
 	return true
 }
 
-// watchWait is how long the next call of a watch waits for changes.
+// watchWait returns how long the next call of a watch waits for changes.
 func (f *Follower) watchWait(state *freshness.Watch) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/discovery/region.go
+++ b/internal/gateway/discovery/region.go
@@ -8,22 +8,23 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// regionSlack is how much later than from the own region the answer of another region
-// may come, or a connection to it stand. The time there and back of the longest
-// ways between two regions; where one is cut off, the few gateways that link regions wait
-// so much longer for an answer that does not come.
+// regionSlack is how much longer than in the own region a reply from another region, or
+// connecting to it, may take: the round-trip time of the longest paths between two regions.
+// If a region is cut off, the few gateways that link regions wait that much longer for a
+// reply that does not come.
 const regionSlack = 400 * time.Millisecond
 
-// tier is how far a hall is.
+// tier returns the tier of a hall by its distance.
 func (f *Follower) tier(hall string) locality.Tier { return f.options.Locality().Tier(hall) }
 
-// inOtherRegion says whether a gateway may be in another region; a seed, whose hall is not
-// known, counts as such where the fleet spans regions.
+// inOtherRegion reports whether a gateway may be in another region. This holds for a seed,
+// whose hall is not known, if the fleet spans regions.
 func (f *Follower) inOtherRegion(peer member.Box) bool {
 	return f.tier(peer.Hall) == locality.OtherRegion
 }
 
-// answerSlack is how much longer than the question waits the answer of a gateway may take.
+// answerSlack returns how much longer than the wait of a request a gateway's reply may
+// take.
 func (f *Follower) answerSlack(peer member.Box) time.Duration {
 	if f.inOtherRegion(peer) {
 		return f.options.Timing.PollSlack + regionSlack
@@ -31,7 +32,7 @@
 	return f.options.Timing.PollSlack
 }
 
-// dialSlack is how long it may take to connect to a gateway.
+// dialSlack returns how long connecting to a gateway may take.
 func (f *Follower) dialSlack(peer member.Box) time.Duration {
 	if f.inOtherRegion(peer) {
 		return f.options.Timing.PollSlack/dialSlackDivisor + regionSlack
@@ -39,55 +40,55 @@
 	return f.options.Timing.PollSlack / dialSlackDivisor
 }
 
-// requestsDelta says whether a question to a neighbour asks for what is missing here, and
-// not only whether there is any: from another region an update then comes two ways
-// sooner. Each neighbour there sends it, so this is done only where little can be missing.
-// The lock is held.
+// requestsDelta reports whether a poll of a neighbour requests what is missing here, and
+// not only whether anything is: an update from another region then arrives two one-way
+// delays sooner. Each neighbour there sends it, so this is done only if little can be
+// missing. The lock is held.
 func (f *Follower) requestsDelta(peer member.Box) bool {
 	return peer.ID != "" && f.inOtherRegion(peer) && f.isInitialized()
 }
 
-// deltaFor is what is sent to a neighbour in another region beside this gateway's position;
-// nothing where much may be missing there, or where the configuration could not be packed:
-// it is asked for then. The lock is held.
+// deltaFor returns what is pushed to a neighbour in another region beside this gateway's
+// position; nothing if much may be missing there or if the configuration could not be
+// compressed, in which case the neighbour requests it. The lock is held.
 func (f *Follower) deltaFor(n *neighbour) catalog.Delta {
 	if !f.inOtherRegion(n.peer) || n.position.Targets == 0 {
 		return catalog.Delta{}
 	}
-	news := f.catalog.Since(n.position)
-	if news.Whole {
+	delta := f.catalog.Since(n.position)
+	if delta.Whole {
 		return catalog.Delta{}
 	}
-	if news.Config == nil {
-		return news
+	if delta.Config == nil {
+		return delta
 	}
 	var err error
-	if news.Config, err = f.packedConfig.of(news.To.Config, news.Config); err != nil {
-		f.options.Log.Error("configuration not packed", "version", news.To.Config, "error", err.Error())
+	if delta.Config, err = f.packedConfig.of(delta.To.Config, delta.Config); err != nil {
+		f.options.Log.Error("compressing the configuration failed", "version", delta.To.Config, "error", err.Error())
 		return catalog.Delta{}
 	}
-	return news
+	return delta
 }
 
-// applyPushedDelta takes in what a caller sent beside its position, unless something that comes
-// before it is missing here: calls on one connection may overtake each other.
+// applyPushedDelta applies what a caller pushed beside its position, unless an earlier
+// update is missing here: calls on one connection may overtake each other.
 func (f *Follower) applyPushedDelta(args UpdateArgs) error {
-	news := args.News
-	if news.IsEmpty() {
+	delta := args.News
+	if delta.IsEmpty() {
 		return nil
 	}
-	if news.Config != nil {
-		body, err := inflate(news.Config)
+	if delta.Config != nil {
+		body, err := inflate(delta.Config)
 		if err != nil {
 			return err
 		}
-		news.Config = body
+		delta.Config = body
 	}
 	f.apply(args.From.Peer, func(c *catalog.Catalog) catalog.Changed {
 		if c.Position().Lacks(args.Base) {
 			return catalog.Changed{}
 		}
-		return c.Merge(news)
+		return c.Merge(delta)
 	})
 	return nil
 }
--- a/internal/gateway/discovery/rewind.go
+++ b/internal/gateway/discovery/rewind.go
@@ -6,24 +6,25 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// A store may come back from a copy that is some seconds old: it lacks what was written
-// since, and has back what had gone. What its operator and the targets wrote they write
-// again; until they have, its updates are taken for those that are known and no others
-// (core/gateway/catalog), and then all is read again.
+// A store may be restored from a copy that is some seconds old: it lacks what was written
+// since, and contains again what had been deleted. Its operator and the targets write their
+// objects again. Until they have, the store's updates are applied only to objects that are
+// already known (core/gateway/catalog); after that, everything is read again.
 
-// rereadFactor is by how much longer than the time after which entries of live targets are
-// there again (restore_within_s) the second reading waits: entries of targets that are gone,
-// which nobody renews, lapse meanwhile. Targets renew theirs some three times before
-// they lapse, and make them again within one or two.
+// rereadFactor is by how much longer than the time after which entries of running targets
+// are there again (restore_within_s) the second read waits, so that entries of targets that
+// are gone, which nobody renews, expire first. Targets renew their entries about three
+// times before they would expire, and write lost ones again within one or two renewal
+// intervals.
 const rereadFactor = 2.5
 
-// rereads are when each kind must be read whole again; zero for never.
+// rereads holds when each kind must be read in full again; zero for never.
 type rereads struct {
 	targets, evacuations, rollouts time.Time
 }
 
-// noteEpoch notes, and logs, that something is known of a later life of the store than it was
-// at a position; the lock is held.
+// noteEpoch records, and logs, that the position of some kind belongs to a later epoch of
+// the store than it did before; the lock is held.
 func (f *Follower) noteEpoch(now time.Time, before catalog.Position) {
 	after := f.catalog.Position()
 	due := now.Add(time.Duration(rereadFactor * float64(f.options.Timing.RestoreWithin)))
@@ -45,8 +46,8 @@
 	}
 }
 
-// mustReread says whether it is time to read a kind whole again, and takes it that this is
-// done now.
+// mustReread reports whether it is time to read a kind in full again; the caller must then
+// do so, since the due time is cleared.
 func (f *Follower) mustReread(due *time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -7,9 +7,9 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-// updateRole works out whether the reading of the store falls to this gateway,
-// takes it up or lays it down, and returns how long no call of a watch need be
-// made; 0 or less if one should be made now.
+// updateRole decides whether this gateway has to read the store, makes it a reader or stops
+// it from being one, and returns for how long no call of a watch is needed; 0 or less if
+// one is due now.
 func (f *Follower) updateRole(w *watch) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -23,8 +23,7 @@
 	return w.delay(now)
 }
 
-// setReader notes whether the reading falls to this gateway and logs a change; the
-// lock is held.
+// setReader records whether this gateway is a reader and logs a change; the lock is held.
 func (f *Follower) setReader(reads bool) {
 	if reads == f.isReader {
 		return
@@ -36,15 +35,14 @@
 	f.options.Log.Info("reading the store", "reads", reads, "rank", f.rank(f.options.Clock()), "age_s", f.loggedAge())
 }
 
-// untilReading is how long the reading does not fall to this gateway; the lock is
-// held.
+// untilReading returns the time until this gateway has to read the store; the lock is held.
 func (f *Follower) untilReading(now time.Time) time.Duration {
 	return reader.Until(f.readerState(now), reader.Timing{
 		Standby: f.options.Timing.StaleAfter, Alone: f.options.Timing.MayReadAfter, Last: f.options.Timing.MustReadAfter,
 	})
 }
 
-// readerState is what the rule on who reads goes by; the lock is held.
+// readerState returns the input of the reader election; the lock is held.
 func (f *Follower) readerState(now time.Time) reader.State {
 	self := f.options.Self
 	return reader.State{
@@ -57,7 +55,7 @@
 	}
 }
 
-// peerKnownFor is how long any other gateway has been known; the lock is held.
+// peerKnownFor returns how long any other gateway has been known; the lock is held.
 func (f *Follower) peerKnownFor(now time.Time) time.Duration {
 	if f.firstPeerAt.IsZero() {
 		return 0
@@ -65,10 +63,10 @@
 	return now.Sub(f.firstPeerAt)
 }
 
-// rank is this gateway's place in the order of readers; the lock is held.
+// rank returns this gateway's place in the order of readers; the lock is held.
 func (f *Follower) rank(now time.Time) int { return f.view.Rank(now) }
 
-// noteTry notes that this gateway begins to call the store, so that others that learn of
+// noteTry records that this gateway begins to call the store, so that others that learn of
 // it wait; the lock is held.
 func (f *Follower) noteTry(now time.Time) {
 	f.ownTry = reader.Try{ID: f.options.Self.ID, Number: now.UnixNano()}
--- a/internal/gateway/discovery/rollout.go
+++ b/internal/gateway/discovery/rollout.go
@@ -2,18 +2,20 @@
 
 import "github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 
-// VersionTargets is how the targets of a service stand to a version that is ordered.
+// VersionTargets describes the targets of a service by whether they run the version that a
+// rollout orders.
 type VersionTargets struct {
-	// OnTrial says that the version is not the one in service.
+	// OnTrial says that the ordered version is not the one in service.
 	OnTrial bool
-	// Baseline and Canary are how many targets of the versions may take requests, and
-	// Warm how many of the latter are not cold.
+	// Baseline and Canary are the numbers of targets of other versions and of the ordered
+	// version that may take requests, and Warm is the number of the latter that are not
+	// cold.
 	Baseline int
 	Canary   int
 	Warm     int
 }
 
-// VersionTargets is how the targets that are believed stand to a rollout.
+// VersionTargets counts the known targets of a rollout's service.
 func (f *Follower) VersionTargets(r catalog.Rollout) VersionTargets {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -33,15 +35,15 @@
 	return s
 }
 
-// Changed gives what is closed at the next change of what is believed.
+// Changed returns a channel that is closed at the next change of the known state.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Peers lists the ids of the gateways that are known to be there, this one among them: all
-// of a small fleet, some of a large one.
+// Peers returns the ids of the gateways that are known to be present, including this one:
+// all of a small fleet, some of a large one.
 func (f *Follower) Peers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/discovery/saved.go
+++ b/internal/gateway/discovery/saved.go
@@ -15,43 +15,44 @@
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
 
-// What is quarantined is saved in the store as well, in one object that whoever reads the
-// store keeps up to date: for a fleet that loses power as a whole, and for gateways that
-// reach the store and no other gateway. Word between gateways is quicker and needs no
-// store; it forgets when all of them end.
+// Quarantined requests are also saved in the store, in one object that the readers of the
+// store keep up to date: for a fleet that loses power as a whole, and for gateways that
+// reach the store and no other gateway. The exchange between gateways is faster and needs
+// no store, but its state is lost when all gateways stop.
 
 const (
-	// callSaved and callSave are the calls' names in metrics and log lines.
+	// callSaved and callSave name the calls in metrics and log lines.
 	callSaved = "saved"
 	callSave  = "save"
-	// savedWatchWait is how long a watch of the saved object waits. Nothing is confirmed by it,
-	// so that it need not answer often: some 3 calls in 28 s, where one that waits as long as the
-	// others made 19. It is shorter than the history that stores keep, some 20 s.
+	// savedWatchWait is how long a watch of the saved object waits. It confirms nothing, so
+	// it need not return often: some 3 calls in 28 s, instead of 19 with the wait of the
+	// other watches. It is shorter than the history that stores keep, some 20 s.
 	savedWatchWait = 15 * time.Second
-	// resaveAfter is how old the saved object may grow while its requests go on coming:
-	// some writes before they would lapse by it.
+	// resaveAfter is the age at which the saved object is written again while its requests
+	// keep arriving: some writes before they would expire by it.
 	resaveAfter = 3 * time.Minute
 )
 
-// saved is the object in the store, as it was last read or written.
+// saved is the object in the store as last read or written.
 type saved struct {
-	// known says that it was read since the reading fell to this gateway.
+	// known says that it was read since this gateway became a reader.
 	known    bool
 	revision uint64 // 0 where there is none
 	document savedDocument
 }
 
-// savedDocument is its content.
+// savedDocument is the content of the object.
 type savedDocument struct {
-	// WrittenAt is when it was written, in ms of the time of day of the gateway that did.
+	// WrittenAt is when it was written, in ms by the wall clock of the gateway that wrote
+	// it.
 	WrittenAt int64 `json:"writtenAtMs"`
-	// Quarantined lists the fingerprints that the updates amount to.
+	// Quarantined lists the fingerprints that are quarantined by the updates.
 	Quarantined []string            `json:"quarantined"`
 	Updates     []quarantine.Update `json:"words"`
 }
 
-// readSaved is the duty of watching the saved object while the reading falls to this
-// gateway.
+// readSaved is the background task that watches the saved object while this gateway reads
+// the store.
 func (f *Follower) readSaved(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval = initialRetry
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// callSaved makes one call and returns the revision of the store from which the next one
-// watches; at is 0 for the first.
+// callSaved makes one call and returns the revision of the store at which the next watch
+// starts; at is 0 for the first call.
 func (f *Follower) callSaved(ctx context.Context, at uint64) (next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, savedWatchWait+f.options.Timing.WatchSlack)
 	defer cancel()
@@ -108,8 +109,8 @@
 	return changes.Revision, nil
 }
 
-// applySaved takes in what the store holds; whole says that it holds nothing where latest is
-// nil, and not that nothing changed. One that can't be read is written anew.
+// applySaved applies what the store holds. If latest is nil, whole says that the store
+// holds no object, as opposed to an unchanged one. An invalid object is written again.
 func (f *Follower) applySaved(latest *SavedObject, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,14 +124,14 @@
 	f.saved.revision = latest.Revision
 	if err := json.Unmarshal(latest.Body, &f.saved.document); err != nil {
 		f.saved.document = savedDocument{}
-		f.options.Log.Error("saved quarantine not understood; it is written anew", "revision", latest.Revision, "error", err.Error())
+		f.options.Log.Error("decoding the saved quarantine failed; it will be written again", "revision", latest.Revision, "error", err.Error())
 		return
 	}
 	age := max(0, f.options.WallClock().Sub(time.UnixMilli(f.saved.document.WrittenAt)))
 	f.mergeFatal(f.saved.document.aged(age), fromStore)
 }
 
-// aged are the updates some time later.
+// aged returns the updates with ages increased by the time that has passed.
 func (d savedDocument) aged(later time.Duration) []quarantine.Update {
 	updates := slices.Clone(d.Updates)
 	for i := range updates {
@@ -143,8 +144,8 @@
 	return updates
 }
 
-// resetSavedRevision has the next write create the object: it may be gone, and where it is not,
-// the store refuses and says so.
+// resetSavedRevision makes the next write create the object: it may be gone, and if it is
+// not, the store refuses the write and reports it.
 func (f *Follower) resetSavedRevision() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +158,8 @@
 	f.saved = saved{}
 }
 
-// save is the duty of saving what is quarantined, while the reading falls to this gateway.
+// save is the background task that saves what is quarantined while this gateway reads the
+// store.
 func (f *Follower) save(ctx context.Context) error {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval = initialRetry
@@ -183,8 +185,9 @@
 	return nil
 }
 
-// objectToSave says whether the saved object lacks anything that is quarantined, or
-// would lapse though its requests go on coming, and makes what replaces it.
+// objectToSave returns the next version of the saved object. needed reports whether the
+// present one lacks a quarantined request, or would expire although its requests keep
+// arriving.
 func (f *Follower) objectToSave() (object SavedObject, needed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,20 +198,20 @@
 	now := f.options.WallClock()
 	lacks := slices.ContainsFunc(fingerprints, func(print string) bool { return !slices.Contains(f.saved.document.Quarantined, print) })
 	age := now.Sub(time.UnixMilli(f.saved.document.WrittenAt))
-	recurring := slices.ContainsFunc(updates, func(w quarantine.Update) bool { return w.Seen < resaveAfter })
+	recurring := slices.ContainsFunc(updates, func(u quarantine.Update) bool { return u.Seen < resaveAfter })
 	if !lacks && (age < resaveAfter || !recurring) {
 		return object, false
 	}
 	body, err := json.Marshal(savedDocument{WrittenAt: now.UnixMilli(), Quarantined: fingerprints, Updates: updates})
 	if err != nil {
-		f.options.Log.Error("quarantine not encoded", "error", err.Error())
+		f.options.Log.Error("encoding the quarantine failed", "error", err.Error())
 		return object, false
 	}
 	return SavedObject{Revision: f.saved.revision, Body: body}, true
 }
 
-// saveOnce writes the saved object on condition that nobody else has. What came of it is
-// taken in; a write without an answer may still be done, which the watch then reports.
+// saveOnce writes the saved object on condition that nobody else has, and applies the
+// result. A write without a response may still be applied, which the watch then reports.
 func (f *Follower) saveOnce(ctx context.Context, object SavedObject) error {
 	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 	defer cancel()
@@ -228,5 +231,5 @@
 		f.options.Log.Info("quarantine saved", "revision", object.Revision, "bytes", len(object.Body))
 		return nil
 	}
-	return fmt.Errorf("on condition of revision %d: %w", object.Revision, err)
+	return fmt.Errorf("conditional write at revision %d: %w", object.Revision, err)
 }
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -8,34 +8,38 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
+// fullDeltaBurst and fullDeltaInterval limit how often the full catalog is sent: a burst,
+// then one each interval. With 11 kB each, a list of 719 targets, this uses half of a link
+// of 20 Mbit/s; gateways that received it forward it to others meanwhile.
 const (
 	// fullDeltaBurst and wholeEvery bound how often all that is known is sent: so many at
 	// once, then one each wholeEvery. Of 11 kB each, a list of 719 targets, they
 	// take half of a link of 20 Mbit/s; those that were sent it send it to others meanwhile.
 	fullDeltaBurst    = 4
 	fullDeltaInterval = 8 * time.Millisecond
-	// staleCheckInterval is the time between two looks at a waiting question whose caller's
-	// knowledge has grown old. This gateway's may have become younger by less than wakes
-	// those that wait, and the gain that is worth telling falls with the caller's age.
+	// staleCheckInterval is the time between two checks of a waiting request whose caller's
+	// state has become stale. This gateway's state may have become fresher without a
+	// wake-up of the waiting requests, and the gain that is worth a reply decreases with
+	// the caller's age.
 	staleCheckInterval = 20 * time.Millisecond
 )
 
-// methods are what other gateways may call.
+// methods holds the methods that other gateways may call.
 type methods struct{ follower *Follower }
 
-// News answers once the caller lacks something or its wait is over.
+// News replies once the caller lacks something or its wait is over.
 func (m *methods) News(args UpdateArgs, reply *UpdateReply) error {
 	return m.follower.answer(args, reply)
 }
 
-// Service is what other gateways may call on the same connections beside the exchange.
+// Service is a further net/rpc service on the connections of the exchange.
 type Service struct {
 	Name string
-	// Methods has methods as net/rpc wants them.
+	// Methods has methods as net/rpc requires them.
 	Methods any
 }
 
-// Serve answers other gateways, also by further services, until the listener is closed.
+// Serve answers other gateways, also with further services, until the listener is closed.
 func (f *Follower) Serve(l net.Listener, more ...Service) error {
 	server := rpc.NewServer()
 	for _, s := range append([]Service{{Name: serviceName, Methods: &methods{follower: f}}}, more...) {
@@ -87,7 +91,7 @@
 	return f.addUpdate(args, reply)
 }
 
-// addUpdate adds what the caller lacks to an answer; the lock is held.
+// addUpdate adds to a reply what the caller lacks; the lock is held.
 func (f *Follower) addUpdate(args UpdateArgs, reply *UpdateReply) error {
 	reply.Delta = f.catalog.Since(args.At)
 	if reply.Delta.Whole {
@@ -109,7 +113,8 @@
 	return err
 }
 
-// recordRequest notes that another gateway asks, what it sends, and whom it has seen.
+// recordRequest records that another gateway asked, merges what it sent, and observes the
+// gateways that it has seen.
 func (f *Follower) recordRequest(args UpdateArgs) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,7 +133,7 @@
 	}
 }
 
-// waitForUpdate waits while there is nothing to send the caller.
+// waitForUpdate waits while there is nothing to send to the caller.
 func (f *Follower) waitForUpdate(args UpdateArgs) {
 	if args.Wait <= 0 {
 		return
@@ -150,9 +155,9 @@
 	}
 }
 
-// untilNextCheck is how long a question waits until it is looked at again though nothing
-// changes: until its wait is over or the caller's knowledge has grown old, and from then on
-// each oldLookEvery; the lock is held.
+// untilNextCheck returns how long a waiting request is left alone if nothing changes: until
+// its wait is over or the caller's state becomes stale, and staleCheckInterval from then
+// on; the lock is held.
 func (f *Follower) untilNextCheck(args UpdateArgs, asked time.Time) time.Duration {
 	waited := f.options.Clock().Sub(asked)
 	left := args.Wait - waited
@@ -162,7 +167,7 @@
 	return min(left, staleCheckInterval)
 }
 
-// lacks says whether there is anything at a position that the caller lacks and follows.
+// lacks reports whether the caller lacks anything that it follows at a position.
 func (a UpdateArgs) lacks(position catalog.Position) bool {
 	if !a.FollowsEvacuations {
 		position.EvacuationsChanged = 0
@@ -173,14 +178,15 @@
 	return a.At.Lacks(position)
 }
 
-// hasAnswer says whether there is something to answer now: an update, news that
-// confirms the caller's old knowledge, a try to read the store, a request that ends targets or
-// a target's limit that it has not learnt of, or that this gateway leaves; the lock is held.
+// hasAnswer reports whether there is a reason to reply now: an update, a confirmation of
+// the caller's stale state, an attempt to read the store, a request that terminates targets
+// or a target's limit that the caller does not know, or that this gateway is leaving; the
+// lock is held.
 func (f *Follower) hasAnswer(args UpdateArgs, asked time.Time) bool {
 	now := f.options.Clock()
-	ahead := args.lacks(f.catalog.Position())
+	lacks := args.lacks(f.catalog.Position())
 	confirms := f.fresh.Confirms(now, agedBy(args.Age, now.Sub(asked)))
 	tries := f.tries.Lacking(now, args.Tries)
 	updates := args.AsksFatal && f.lacksUpdates(parsePositions(args.FatalAt))
-	return ahead || confirms || tries || updates || f.view.Self().Leaving
+	return lacks || confirms || tries || updates || f.view.Self().Leaving
 }
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -8,9 +8,10 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-// bootstrap is the duty of a gateway that knows nothing while its clients wait: unless
-// others send it everything first, it reads the store's older copy. What it saw may be seconds old
-// and is not sent to others; all is still asked of them.
+// bootstrap is the background task of a gateway that starts without any state while its
+// clients wait: it reads the store's older copy unless other gateways send it the full
+// state first. What it reads may be seconds old and is not sent to others; the current
+// state is still requested from them.
 func (f *Follower) bootstrap(ctx context.Context) error {
 	for !f.options.FirstStart && !f.isReady() {
 		if wait := f.untilStaleRead(); wait > 0 {
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// isReady says whether there is something to serve by.
+// isReady reports whether there is a state to serve by.
 func (f *Follower) isReady() bool {
 	select {
 	case <-f.ready:
@@ -42,14 +43,14 @@
 	return reader.UntilStaleRead(f.readerState(f.options.Clock()))
 }
 
-// staleRead reads the store's older copy and says whether it saw anything.
+// staleRead reads the store's older copy and reports whether that gave a usable state.
 func (f *Follower) staleRead(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 	defer cancel()
 	seen, err := f.options.Source.StaleRead(ctx)
 	if err != nil {
 		f.options.Metrics.StoreCall(callStaleRead, callFailed)
-		f.options.Log.Info("no glance at the store", "error", err.Error())
+		f.options.Log.Info("stale read of the store failed", "error", err.Error())
 		return false
 	}
 	f.options.Metrics.StoreCall(callStaleRead, callAnswered)
@@ -63,24 +64,24 @@
 	return ok
 }
 
-// completeStaleRead completes a stale read with those of the evacuations and of the rollouts, where these
-// are followed; ok is false if it must not be served by.
+// completeStaleRead adds the stale evacuations and rollouts, where these are followed; ok
+// is false if the result must not be used for serving.
 func (f *Follower) completeStaleRead(ctx context.Context, seen StaleRead) (guess catalog.Guess, ok bool) {
 	guess = catalog.Guess{Version: seen.Config.Version, Body: seen.Config.Body, Targets: ownTargets(seen.Targets)}
 	if f.options.Source.followsEvacuations() {
 		evacuations, err := f.options.Source.StaleEvacuations(ctx)
 		if guess.Evacuations = evacuations.Items; err != nil {
-			// It serves all the same: they are known before anything is due of it.
+			// It serves nevertheless: the evacuations are known before it has to apply them.
 			f.options.Metrics.StoreCall(callStaleRead, callFailed)
-			f.options.Log.Info("no glance at the evacuations", "error", err.Error())
+			f.options.Log.Info("stale read of the evacuations failed", "error", err.Error())
 		}
 	}
 	if f.options.Source.followsRollouts() {
-		// Without them a version that is only on trial would be taken for one in service.
+		// Without them, a version that is only on trial would be treated as one in service.
 		rollouts, err := f.options.Source.StaleRollouts(ctx)
 		if guess.Rollouts = rollouts.Items; err != nil {
 			f.options.Metrics.StoreCall(callStaleRead, callFailed)
-			f.options.Log.Info("no glance at the rollouts; it does not serve by what it saw", "error", err.Error())
+			f.options.Log.Info("stale read of the rollouts failed; the stale state is not used", "error", err.Error())
 			return guess, false
 		}
 	}
--- a/internal/gateway/discovery/updates.go
+++ b/internal/gateway/discovery/updates.go
@@ -11,44 +11,46 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quarantine"
 )
 
-// UpdateKind are a kind of change that gateways exchange beside the catalog, as bytes, each
-// change once to each neighbour. Its functions may be called while the follower is locked and
-// must not call it.
+// UpdateKind is a kind of update that gateways exchange beside the catalog, as bytes, each
+// change once to each neighbour. Its functions may be called while the Follower is locked
+// and must not call it.
 type UpdateKind struct {
-	// Position names how far this gateway has come (formatPosition).
+	// Position returns this gateway's position (formatPosition).
 	Position func() string
-	// Since is what changed since a position, and how far that comes.
+	// Since returns the changes since a position, and the position that they lead to.
 	Since func(at string) (body []byte, to string)
-	// Merge takes in what another gateway reported, and says whether any of it is news here.
+	// Merge applies the changes of another gateway, and reports whether any was new here.
 	Merge func(body []byte, from string) (isNew bool)
-	// MinInterval is the least time between two changes that are passed on to other gateways, of
-	// which the first goes at once; 0 to pass on each.
+	// MinInterval is the least time between two changes that are announced to other
+	// gateways, of which the first is announced at once; 0 to announce each.
 	MinInterval time.Duration
 }
 
-// What gateways exchange beside the catalog goes as bytes and texts, one of each for all
-// kinds: the codec of net/rpc describes each type and field once on each connection, and
-// the connections of gateways are many and short. With types of their own the messages of a
-// calm fleet of 100 were longer by 6 in 100.
+// The updates beside the catalog are sent as one byte string and one text for all kinds:
+// the codec of net/rpc describes each type and field once on each connection, and a gateway
+// has many short connections. With types of their own, the messages of an idle fleet of 100
+// were 6% longer.
 
-// positions is how far updates of a gateway were received, or were sent to it, by kind.
+// positions holds the positions, by kind of update, up to which a gateway has sent updates
+// or was sent them.
 type positions struct {
 	fatal changes.Position
-	// updates are the positions of Options.Updates, as far as the gateway learns of these: one of an
-	// earlier version learns of fewer kinds.
+	// updates are the positions of Options.UpdateKinds, as far as the gateway knows these:
+	// one of an earlier version knows fewer kinds.
 	updates []string
 }
 
-// positionMark separates the positions of the kinds in a message; a gateway of an earlier version
-// reads the first ones alone.
+// positionMark separates the positions of the kinds in a message; a gateway of an earlier
+// version reads only the first ones.
 const positionMark = "/"
 
-// String is how a message names it.
+// String formats the positions for a message.
 func (h positions) String() string {
 	return strings.Join(append([]string{formatPosition(h.fatal)}, h.updates...), positionMark)
 }
 
-// reply is how an answer names it: nothing where there is no update, which is so mostly.
+// reply formats the positions for a reply: as an empty text if there are no updates, which
+// is the usual case.
 func (h positions) reply() string {
 	if text := h.String(); strings.Trim(text, positionMark) != "" {
 		return text
@@ -56,21 +58,22 @@
 	return ""
 }
 
-// parsePositions reads it.
+// parsePositions parses positions in a message.
 func parsePositions(text string) positions {
 	texts := strings.Split(text, positionMark)
 	return positions{fatal: parsePosition(texts[0]), updates: texts[1:]}
 }
 
-// withAllKinds are the positions of a gateway that is sent all kinds.
+// withAllKinds returns the positions extended to all kinds, for a gateway that is sent all
+// of them.
 func (f *Follower) withAllKinds(at positions) positions {
 	updates := make([]string, len(f.options.UpdateKinds))
 	copy(updates, at.updates)
 	return positions{fatal: at.fatal, updates: updates}
 }
 
-// formatPosition is how a message names a position; nothing for that of an empty list, which is all
-// there is mostly.
+// formatPosition formats a position for a message; the position of an empty list, which is
+// the usual one, is an empty text.
 func formatPosition(at changes.Position) string {
 	if at == (changes.Position{}) {
 		return ""
@@ -78,7 +81,8 @@
 	return fmt.Sprintf("%x.%x", at.Log, at.Version)
 }
 
-// parsePosition reads it; what is no position is that of an empty list, whose owner is sent all.
+// parsePosition parses a position. Invalid text stands for the position of an empty list,
+// so that its sender is sent all updates.
 func parsePosition(text string) (at changes.Position) {
 	if _, err := fmt.Sscanf(text, "%x.%x", &at.Log, &at.Version); err != nil {
 		return changes.Position{}
@@ -86,7 +90,7 @@
 	return at
 }
 
-// covers says whether a position is as far as another one of the same log, or further.
+// covers reports whether at is the same as or later than position, in the same log.
 func covers(at, position string) bool {
 	if at == position {
 		return true
@@ -95,8 +99,7 @@
 	return has.Log == wanted.Log && has.Version >= wanted.Version
 }
 
-// lacksUpdates says whether there are updates that a gateway lacks that was sent those so
-// far.
+// lacksUpdates reports whether there are updates that a gateway at these positions lacks.
 func (f *Follower) lacksUpdates(at positions) bool {
 	for i := range f.kindsFor(at) {
 		if !covers(at.updates[i], f.announcedPosition(i)) {
@@ -106,12 +109,13 @@
 	return f.options.Fatal.Position() != at.fatal
 }
 
-// kindsFor are the kinds of updates that a gateway is sent.
+// kindsFor returns the kinds of updates that a gateway is sent.
 func (f *Follower) kindsFor(at positions) []UpdateKind {
 	return f.options.UpdateKinds[:min(len(f.options.UpdateKinds), len(at.updates))]
 }
 
-// updatesSince is what changed since a position as a message holds it, and how far that comes.
+// updatesSince returns the encoded updates since some positions, and the positions that
+// they lead to.
 func (f *Follower) updatesSince(at positions) ([]byte, positions) {
 	updates, fatal := f.options.Fatal.Since(at.fatal)
 	to := positions{fatal: fatal}
@@ -128,7 +132,7 @@
 	return f.encodeUpdates(updates, bodies), to
 }
 
-// encodeUpdates makes a message of all kinds of updates, each behind what earlier versions read.
+// encodeUpdates encodes all kinds of updates, each after those that earlier versions read.
 func (f *Follower) encodeUpdates(updates []quarantine.Update, bodies [][]byte) []byte {
 	for len(bodies) > 0 && len(bodies[len(bodies)-1]) == 0 {
 		bodies = bodies[:len(bodies)-1]
@@ -142,13 +146,13 @@
 		}
 	}
 	if err != nil {
-		f.options.Log.Error("word for other gateways not encoded", "error", err.Error())
+		f.options.Log.Error("encoding updates for other gateways failed", "error", err.Error())
 		return nil
 	}
 	return message.Bytes()
 }
 
-// decodeUpdates reads what a message of another gateway holds.
+// decodeUpdates decodes the updates of another gateway.
 func (f *Follower) decodeUpdates(message []byte, from string) (updates []quarantine.Update, bodies [][]byte) {
 	if len(message) == 0 {
 		return nil, nil
@@ -162,27 +166,27 @@
 		bodies = append(bodies, body)
 	}
 	if err != nil {
-		f.options.Log.Warn("word of a gateway not understood", "peer", from, "error", err.Error())
+		f.options.Log.Warn("decoding updates of a gateway failed", "peer", from, "error", err.Error())
 	}
 	return updates, bodies
 }
 
-// mergeUpdates takes in what a message of another gateway holds; the lock is held.
+// mergeUpdates applies the encoded updates of another gateway; the lock is held.
 func (f *Follower) mergeUpdates(message []byte, from string) {
 	updates, bodies := f.decodeUpdates(message, from)
 	f.mergeFatal(updates, from)
 	for i, body := range bodies {
 		if f.options.UpdateKinds[i].Merge(body, from) {
-			f.wake() // others have to learn of it
+			f.wake() // to forward it to others
 		}
 	}
 }
 
-// mergeFatal takes in what another gateway knows of requests that end targets; the lock is
-// held. The time that updates were on their way is not counted: what they report happened at a
-// moment, which is compared with others to some ms.
+// mergeFatal applies what another gateway knows of requests that terminate targets; the
+// lock is held. The time that the updates were in transit is not counted: they report times
+// that are compared with others with a tolerance of some ms.
 func (f *Follower) mergeFatal(updates []quarantine.Update, from string) {
 	if f.options.Fatal.Merge(updates, from) {
-		f.wake() // others have to learn of it
+		f.wake() // to forward it to others
 	}
 }
