--- a/internal/gateway/discovery/announce_test.go
+++ b/internal/gateway/discovery/announce_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestAPositionOfAnotherLogOrAnEarlierOneLacksUpdates(t *testing.T) {
+func TestEarlierOrUnrelatedPositionDoesNotCover(t *testing.T) {
 	for _, c := range []struct {
 		at, position string
 		covers       bool
--- a/internal/gateway/discovery/calm_test.go
+++ b/internal/gateway/discovery/calm_test.go
@@ -16,7 +16,7 @@
 
 // A gateway whose knowledge is younger by one pause between two pings answers whoever
 // waits before a standby would read, though no more is heard by either.
-func TestAQuestionIsAnsweredBeforeTheCallersKnowledgeIsTooOld(t *testing.T) {
+func TestPollIsAnsweredBeforeCallersStateIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		fleet := newBigFleet(t, 1, 0, (*access).source)
@@ -46,7 +46,7 @@
 
 // Draws all of which are above the share of the gateways of a hall that link it to others:
 // for one hall of ten they come so 3 times in 100.
-func TestAHallIsLinkedToOthersWhateverIsDrawn(t *testing.T) {
+func TestHallIsLinkedToOthersForAnyRandomNumbers(t *testing.T) {
 	g := NewWithT(t)
 	var all []peers.Sighting
 	for i := range 20 {
--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -134,7 +134,7 @@
 	return f.store.rollouts["shop"]
 }
 
-func TestARolloutOfAFleetCostsLittle(t *testing.T) {
+func TestRolloutTrafficIsBounded(t *testing.T) {
 	for _, size := range []int{3, fleetSize(106)} {
 		carryOut(t, size, func(g *WithT, fleet *bigFleet, c *carried) {
 			fleet.store.rolloutCalls.Store(0)
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestABadVersionIsStoppedThoughTheDeciderIsKilled(t *testing.T) {
+func TestFailingVersionIsRolledBackAfterDeciderIsKilled(t *testing.T) {
 	carryOut(t, fleetSize(60), func(g *WithT, fleet *bigFleet, c *carried) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		g.Expect(fleet.untilShare(fleet.gateways, 130)).To(BeNumerically("<", 5*time.Second))
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestAPartThatIsCutOffWithTheDeciderEndsTheRolloutOnce(t *testing.T) {
+func TestPartitionWithDeciderRollsBackOnBothSides(t *testing.T) {
 	carryOut(t, fleetSize(60), func(g *WithT, fleet *bigFleet, c *carried) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		fleet.untilShare(fleet.gateways, 130)
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -416,7 +416,7 @@
 	}
 }
 
-func TestAllGatewaysLearnOfAChangeAndFewReadTheStore(t *testing.T) {
+func TestAllGatewaysReceiveChangesWhileOneReadsTheStore(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeStore()
 	s.setConfig(3)
@@ -442,7 +442,7 @@
 	}, eventual).Should(BeNumerically("<", 6*2))
 }
 
-func TestAGatewayThatIsCutFromTheStoreLearnsFromOthers(t *testing.T) {
+func TestGatewayWithoutStoreAccessReceivesUpdatesFromPeers(t *testing.T) {
 	for name, cut := range map[string]func(*access){
 		"refused": func(a *access) { a.down.Store(true) },
 		"silent":  func(a *access) { a.silent.Store(true) },
@@ -463,7 +463,7 @@
 	}
 }
 
-func TestAReaderWhoseWatchHangsIsNotBelieved(t *testing.T) {
+func TestHangingWatchOfTheReaderDoesNotHideChanges(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	patient := timing
@@ -485,7 +485,7 @@
 	expectAll(g, []*gateway{other, reader}, 2)
 }
 
-func TestAGatewayThatTakesUpTheReadingConfirmsAtOnce(t *testing.T) {
+func TestNewReaderConfirmsStateAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	patient := timing
@@ -506,7 +506,7 @@
 	g.Expect(other.Current()).To(BeTrue())
 }
 
-func TestAnotherGatewayGoesOnReadingForAReaderThatIsTurnedAway(t *testing.T) {
+func TestOneGatewayReplacesReaderRefusedByTheStore(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 6)
@@ -525,7 +525,7 @@
 	g.Expect(takenUp(gateways)-before).To(BeNumerically("<", len(gateways)), "the reading does not go round")
 }
 
-func TestAReaderThatIsCutOffIsNotMadeUpForByAll(t *testing.T) {
+func TestNotAllGatewaysStartReadingWhenReaderIsCutOff(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	var gateways []*gateway
@@ -556,7 +556,7 @@
 	}
 }
 
-func TestLogLinesTellWhoReadsWhoTellsAndWhoIsBack(t *testing.T) {
+func TestLogNamesReaderNewNeighbourAndReturningPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	first := start(t, "first", 0, listen(t), &access{store: s}, nil)
@@ -572,7 +572,7 @@
 	g.Eventually(first.log.String, eventual).Should(ContainSubstring(`msg="peer back" peer=other`))
 }
 
-func TestTheReadersDeathHidesNoChange(t *testing.T) {
+func TestChangesArriveAfterReaderIsKilled(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 5)
@@ -585,7 +585,7 @@
 	}
 }
 
-func TestAGatewayThatStartsWhileTheStoreIsDownLearnsFromPeers(t *testing.T) {
+func TestGatewayStartedDuringStoreOutageGetsStateFromPeers(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeStore()
 	s.setConfig(4)
@@ -607,7 +607,7 @@
 	g.Eventually(gw.Current, eventual).Should(BeFalse(), "nobody can confirm what is believed")
 }
 
-func TestAForgottenHistoryIsReadAnew(t *testing.T) {
+func TestFullListIsReadWhenHistoryIsGone(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 3)
@@ -628,7 +628,7 @@
 	}
 }
 
-func TestGatewaysThatStartTogetherDoNotTakeItForAnOutage(t *testing.T) {
+func TestSimultaneousStartIsNotTreatedAsOutage(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeStore()
 	s.delay = 200 * time.Millisecond // peers that know nothing yet are heard first
@@ -644,7 +644,7 @@
 	}
 }
 
-func TestFewOfANewFleetReadTheStore(t *testing.T) {
+func TestFewGatewaysOfNewFleetReadTheStore(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	patient := timing
@@ -660,7 +660,7 @@
 	g.Expect(takenUp(gateways)).To(BeNumerically("<", 4), "those that rank first by what each has heard")
 }
 
-func TestEntriesThatLapsedInAnOutageAreGivenTimeToComeBack(t *testing.T) {
+func TestEntriesExpiredInOutageAreNotRemovedBeforeRestoration(t *testing.T) {
 	for name, forgets := range map[string]bool{"with the history kept": false, "with the history lost": true} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -709,7 +709,7 @@
 	}
 }
 
-func TestNoGatewayEverFallsBackToAnOlderConfiguration(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 4)
@@ -745,7 +745,7 @@
 	watchers.Wait()
 }
 
-func TestAnUnreadableConfigurationChangesNothing(t *testing.T) {
+func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 1)
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -108,7 +108,7 @@
 
 // Two ways of hearing of evacuations, by what they cost while all is calm and by how
 // soon one is in force everywhere.
-func TestAnEvacuationIsInForceEverywhereWithinMoments(t *testing.T) {
+func TestEvacuationReachesFleetInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		source func(*access) discovery.Source
 		within time.Duration
@@ -141,7 +141,7 @@
 
 // What happens to the store and to whoever reads it in the moment in which an
 // evacuation is acknowledged.
-func TestAnEvacuationIsInForceWhateverFailsWhenItIsAcknowledged(t *testing.T) {
+func TestEvacuationIsAppliedDespiteFailureAtAcknowledgement(t *testing.T) {
 	all := func(fleet *bigFleet, do func(g *gateway)) {
 		for _, gw := range fleet.gateways {
 			do(gw)
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestTargetsOfAnEvacuatedHallTakeNothing(t *testing.T) {
+func TestTargetsOfEvacuatedHallReceiveNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.change(func() {
@@ -272,7 +272,7 @@
 	}
 )
 
-func TestAGatewayOfTheRevisionBeforeIsServed(t *testing.T) {
+func TestPeerWithoutEvacuationsIsServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.evacuate("hall-1", true)
@@ -314,7 +314,7 @@
 	return nil
 }
 
-func TestAGatewayOfTheRevisionBeforeConfirmsNoEvacuations(t *testing.T) {
+func TestPeerWithoutEvacuationsDoesNotConfirmState(t *testing.T) {
 	g := NewWithT(t)
 	at := listen(t)
 	server := rpc.NewServer()
@@ -336,7 +336,7 @@
 // A gateway that is busy sending all targets to others says how far it is and sends
 // nothing: what it said of evacuations once made others take themselves for as far, with
 // no targets.
-func TestAFleetThatLosesPowerKnowsAllTargetsSoon(t *testing.T) {
+func TestFleetRestartDistributesAllTargets(t *testing.T) {
 	measureReading(t, fleetSize(60), 1, (*access).following, func(g *WithT, fleet *bigFleet) {
 		fleet.store.evacuate("hall-1", true)
 		size := len(fleet.gateways)
@@ -356,7 +356,7 @@
 
 // A third is turned away by the store and a quarter cut off: whoever reads, the standbys
 // and the two that try after them are among these.
-func TestAChangeIsInForceThoughTheFirstThatTryAllFail(t *testing.T) {
+func TestChangeReachesFleetWhenFirstReadersFail(t *testing.T) {
 	measureReading(t, fleetSize(60), 4, (*access).following, func(g *WithT, fleet *bigFleet) {
 		struck := thatReadNow(fleet.gateways)
 		for _, gw := range struck {
--- a/internal/gateway/discovery/fatal_test.go
+++ b/internal/gateway/discovery/fatal_test.go
@@ -43,7 +43,7 @@
 }
 
 // No gateway sees more than one of the three ends.
-func TestAFleetLearnsOfAFatalRequestWithinMoments(t *testing.T) {
+func TestFatalRequestReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
 			rate := func() float64 { // of writes, a second and gateway
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAGatewayThatStartsOrWasCutOffLearnsOfAFatalRequest(t *testing.T) {
+func TestStartedOrPartitionedGatewayReceivesFatalRequest(t *testing.T) {
 	measure(t, fleetSize(30), 2, func(g *WithT, fleet *bigFleet) {
 		part := fleet.share(0.3)
 		fleet.cutOff(part, false)
@@ -90,7 +90,7 @@
 }
 
 // 64 targets end at once, each with eight requests under way: a hall loses power.
-func TestManyEndsAtOnceAreSentInBoundedMessages(t *testing.T) {
+func TestManySimultaneousTargetEndsTakeBoundedTraffic(t *testing.T) {
 	measure(t, 17, 1, func(g *WithT, fleet *bigFleet) {
 		bytes := fleet.fabric.all.Load()
 		for i := range 512 {
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestAFleetLearnsOfAChangeWithinMoments(t *testing.T) {
+func TestConfigurationChangeReachesFleetWithin600ms(t *testing.T) {
 	measure(t, fleetSize(100), 2, func(g *WithT, fleet *bigFleet) {
 		calls := fleet.store.calls.Load()
 		for version := uint64(2); version < 6; version++ {
@@ -221,7 +221,7 @@
 	})
 }
 
-func TestWhileAllIsCalmOneReads(t *testing.T) {
+func TestOneGatewayReadsWhileNothingFails(t *testing.T) {
 	for _, size := range []int{2, 13, 24, fleetSize(60)} {
 		measure(t, size, 1, func(g *WithT, fleet *bigFleet) {
 			before, oldest := takenUp(fleet.gateways), time.Duration(0)
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestFewBytesPassBetweenHalls(t *testing.T) {
+func TestTrafficBetweenHallsIsBounded(t *testing.T) {
 	measure(t, fleetSize(100), 1, func(g *WithT, fleet *bigFleet) {
 		size := float64(len(fleet.gateways))
 		fleet.t.Logf("%.0f bytes between halls a gateway while the fleet starts", float64(fleet.fabric.far.Load())/size)
@@ -253,7 +253,7 @@
 	})
 }
 
-func TestOfAPartThatIsCutOffFewRead(t *testing.T) {
+func TestPartitionStartsFewReaders(t *testing.T) {
 	for name, c := range map[string]struct {
 		share  float64
 		oneWay bool
@@ -305,7 +305,7 @@
 	}
 }
 
-func TestThoseThatReadAreMadeUpForWhenTheyAllFall(t *testing.T) {
+func TestReadersAreReplacedWhenAllAreKilled(t *testing.T) {
 	measure(t, fleetSize(100), 2, func(g *WithT, fleet *bigFleet) {
 		for round := range uint64(3) {
 			readers := thatReadNow(fleet.gateways)
@@ -326,7 +326,7 @@
 	})
 }
 
-func TestAFleetThatLosesPowerReadsTheStoreFewTimes(t *testing.T) {
+func TestFleetRestartReadsTheStoreFewTimes(t *testing.T) {
 	for name, late := range map[string]time.Duration{
 		"all start together":              0,
 		"those that others turn to later": 400 * time.Millisecond,
@@ -373,7 +373,7 @@
 	}
 }
 
-func TestAStoreThatIsAwayIsAskedByFew(t *testing.T) {
+func TestFewGatewaysCallUnreachableStore(t *testing.T) {
 	measure(t, fleetSize(100), 2, func(g *WithT, fleet *bigFleet) {
 		calls := fleet.store.calls.Load()
 		for _, gw := range fleet.gateways {
--- a/internal/gateway/discovery/links_test.go
+++ b/internal/gateway/discovery/links_test.go
@@ -42,7 +42,7 @@
 	ls.release(l, broke)
 }
 
-func TestRepeatedQuestionsToAPeerDoNotDialEachTime(t *testing.T) {
+func TestIdleConnectionIsReusedUntilTimeout(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		for range 10 {
 			use(g, ls, "peer", false)
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestAConnectionThatBrokeIsNotUsedAgain(t *testing.T) {
+func TestBrokenConnectionIsNotReused(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		use(g, ls, "peer", true)
 		use(g, ls, "peer", false)
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestAnIdleConnectionThatThePeerClosedIsNotUsedAgain(t *testing.T) {
+func TestIdleConnectionClosedByPeerIsNotReused(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		use(g, ls, "peer", false)
 		g.Expect(p.ends[0].Close()).To(Succeed())
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestFewIdleConnectionsAreKept(t *testing.T) {
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, _ *pipes) {
 		for i := range 3 * maxIdle {
 			use(g, ls, "peer-"+strconv.Itoa(i), false)
@@ -84,7 +84,7 @@
 	})
 }
 
-func TestAConnectionInUseIsNotClosedAsIdle(t *testing.T) {
+func TestConnectionInUseIsNotClosedAsIdle(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		l, err := ls.acquire(context.Background(), "peer", time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/discovery/lives_test.go
+++ b/internal/gateway/discovery/lives_test.go
@@ -33,7 +33,7 @@
 
 // A target that left starts again under its id, three times in a second, while word of its
 // earlier lives still comes; and an entry without the time of a start is another writer's.
-func TestAFleetFollowsTheLivesOfATarget(t *testing.T) {
+func TestFleetFollowsTargetIncarnations(t *testing.T) {
 	measure(t, 12, 2, func(g *WithT, fleet *bigFleet) {
 		store := fleet.store
 		for i := range 300 {
@@ -65,7 +65,7 @@
 
 // A target that said in an answer that it leaves takes no more requests of that gateway, also once
 // its entry is written again without saying so; one that starts again does.
-func TestATargetThatSaysThatItLeavesIsTakenOut(t *testing.T) {
+func TestLeavingTargetIsRemovedUntilItRestarts(t *testing.T) {
 	g := NewWithT(t)
 	store := newFilledStore()
 	store.setLife("t1", 1, "10.0.0.1:80", false)
--- a/internal/gateway/discovery/pack_test.go
+++ b/internal/gateway/discovery/pack_test.go
@@ -11,7 +11,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-func TestAConfigurationIsSentInFewerBytesAndPackedOnce(t *testing.T) {
+func TestConfigurationIsCompressedOncePerVersion(t *testing.T) {
 	g := NewWithT(t)
 	body := bytes.Repeat([]byte(`{"name":"r-1","kind":"safe","action":{"service":"shop"}},`), 1000)
 	var p packedConfig
@@ -27,7 +27,7 @@
 	g.Expect(inflate(next)).To(Equal([]byte("another")))
 }
 
-func TestAListOfTargetsIsSentInFewerBytesAndPackedOnce(t *testing.T) {
+func TestTargetListIsCompressedOncePerRevision(t *testing.T) {
 	g := NewWithT(t)
 	var changes []catalog.Change
 	for i := range 719 {
--- a/internal/gateway/discovery/region_test.go
+++ b/internal/gateway/discovery/region_test.go
@@ -34,7 +34,7 @@
 	return []catalog.Change{{Revision: revision, Target: catalog.Target{ID: id, Service: "shop"}}}
 }
 
-func TestNewsThatOvertakesOthersIsAskedForInstead(t *testing.T) {
+func TestPushedUpdateWithMissingBaseIsFetchedInstead(t *testing.T) {
 	g := NewWithT(t)
 	f, before := inNorth(t), inNorth(t).position()
 	other := inNorth(t)
@@ -59,7 +59,7 @@
 	g.Expect(f.position()).To(Equal(second.At), "old news changes nothing")
 }
 
-func TestUpdatesAreSentToOtherRegionsAlone(t *testing.T) {
+func TestUpdatesArePushedToOtherRegionsOnly(t *testing.T) {
 	g := NewWithT(t)
 	f := inNorth(t)
 	behind := f.position()
@@ -77,7 +77,7 @@
 	g.Expect(news.Changes).To(BeEmpty())
 }
 
-func TestAnswersOfOtherRegionsMayTakeLonger(t *testing.T) {
+func TestTimeoutsAreLongerForOtherRegions(t *testing.T) {
 	g := NewWithT(t)
 	f := inNorth(t)
 	g.Expect(f.answerSlack(member.Box{Hall: "b"})).To(Equal(300 * time.Millisecond))
--- a/internal/gateway/discovery/regions_test.go
+++ b/internal/gateway/discovery/regions_test.go
@@ -144,7 +144,7 @@
 	return regions
 }
 
-func TestAFleetOverRegionsLearnsOfAChange(t *testing.T) {
+func TestConfigurationChangeReachesAllRegions(t *testing.T) {
 	size, regions := fleetSize(93), fromEnvironment("REGIONS", 3)
 	for _, wide := range widths() {
 		overRegions(t, size, regions, 0, wide, func(g *WithT, fleet *regional) {
@@ -181,7 +181,7 @@
 	})
 }
 
-func TestARegionThatIsCutOffReadsByItselfAndComesBack(t *testing.T) {
+func TestPartitionedRegionReadsTheStoreAndRejoins(t *testing.T) {
 	for name, c := range map[string]struct {
 		oneWay bool
 		store  bool // whether those that are cut off reach the store
@@ -240,7 +240,7 @@
 	}
 }
 
-func TestARegionWhoseLinksLosePacketsFollows(t *testing.T) {
+func TestRegionWithPacketLossReceivesChanges(t *testing.T) {
 	for _, share := range []float64{0.03, 0.1} {
 		overRegions(t, fleetSize(48), 3, 1, usualWide, func(g *WithT, fleet *regional) {
 			const poor = "region-1"
@@ -267,7 +267,7 @@
 	}
 }
 
-func TestAFleetOverRegionsThatLosesPowerFloodsNoLink(t *testing.T) {
+func TestRestartOfRegionalFleetBoundsTraffic(t *testing.T) {
 	overRegions(t, fleetSize(93), fromEnvironment("REGIONS", 3), 1, usualWide, func(g *WithT, fleet *regional) {
 		size := len(fleet.gateways)
 		fleet.stopAll()
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -130,7 +130,7 @@
 	return time.Since(began)
 }
 
-func TestARolloutIsInForceEverywhereWithinMoments(t *testing.T) {
+func TestRolloutReachesFleetWithin300ms(t *testing.T) {
 	measureReading(t, fleetSize(106), 1, (*access).rollingOut, func(g *WithT, fleet *bigFleet) {
 		const calm = 10 // seconds
 		calls := fleet.store.calls.Load()
@@ -149,7 +149,7 @@
 
 // What happens to the store and to whoever reads it in the moment in which a roll-back is
 // recorded.
-func TestARollbackIsInForceWhateverFailsWhenItIsRecorded(t *testing.T) {
+func TestRollbackIsAppliedDespiteFailureAtRecording(t *testing.T) {
 	for name, fail := range map[string]func(fleet *bigFleet) (bound []*gateway){
 		"those that read are killed": func(fleet *bigFleet) []*gateway {
 			readers := thatReadNow(fleet.gateways)
@@ -238,7 +238,7 @@
 	return startSource(t, self, listener, a, a.rollingOut(), seeds, timing, false)
 }
 
-func TestAGatewayOfTheRevisionBeforeRolloutsIsServed(t *testing.T) {
+func TestPeerWithoutRolloutsIsServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.putRollout(catalog.Rollout{Service: "shop", Version: "v2"})
@@ -277,7 +277,7 @@
 	return nil
 }
 
-func TestAGatewayOfTheRevisionBeforeConfirmsNoRollouts(t *testing.T) {
+func TestPeerWithoutRolloutsDoesNotConfirmState(t *testing.T) {
 	g := NewWithT(t)
 	at := listen(t)
 	server := rpc.NewServer()
--- a/internal/gateway/discovery/serve_test.go
+++ b/internal/gateway/discovery/serve_test.go
@@ -10,7 +10,7 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-func TestAWaitingQuestionIsAnsweredOnceOldNewsCanBeConfirmed(t *testing.T) {
+func TestWaitingPollIsAnsweredOnceStaleStateIsConfirmed(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	f := New(Options{Self: member.Box{ID: "self"}, Clock: func() time.Time { return now }, Timing: Timing{StaleAfter: time.Second}})
--- a/internal/gateway/discovery/signals_test.go
+++ b/internal/gateway/discovery/signals_test.go
@@ -38,7 +38,7 @@
 
 // Each gateway of a large fleet found out for itself that a target asks for back-off, by a request
 // that was turned away.
-func TestAFleetLearnsThatATargetAsksForBackOffWithinMoments(t *testing.T) {
+func TestTargetBackOffReachesFleetWithin100ms(t *testing.T) {
 	resting := catalog.Target{ID: "t1", Service: "shop", Born: 1}
 	serving := []catalog.Target{resting, {ID: "t2", Service: "shop", Born: 1}}
 	for _, size := range []int{3, 17, fleetSize(100)} {
@@ -62,7 +62,7 @@
 }
 
 // A target says to one gateway alone that it leaves, and its entry does not.
-func TestAFleetLearnsThatATargetLeavesWithinMoments(t *testing.T) {
+func TestLeavingTargetReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
 			for i := range 300 { // all tell when they started
@@ -82,7 +82,7 @@
 }
 
 // All targets of a large service ask whichever gateway they turn away.
-func TestTargetsThatAllAskForBackOffTakeFewBytesBetweenGateways(t *testing.T) {
+func TestBackOffOfAllTargetsTakesBoundedTraffic(t *testing.T) {
 	const targets, seconds = 120, 10
 	for _, size := range []int{18, fleetSize(100)} {
 		measure(t, size, 1, func(g *WithT, fleet *bigFleet) {
--- a/internal/gateway/discovery/updates_test.go
+++ b/internal/gateway/discovery/updates_test.go
@@ -34,7 +34,7 @@
 
 // A limit that one gateway meets, that moves and that is lifted is known to all at once, and no
 // more is said of it then.
-func TestAFleetLearnsOfALimitWithinMoments(t *testing.T) {
+func TestTargetLimitReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
 			rate := func() float64 { // of writes, a second and gateway
@@ -67,7 +67,7 @@
 }
 
 // Gateways that were cut off while it was told, or start later, hear of it.
-func TestAGatewayThatStartsOrWasCutOffLearnsOfALimit(t *testing.T) {
+func TestStartedOrPartitionedGatewayReceivesTargetLimit(t *testing.T) {
 	measure(t, fleetSize(30), 2, func(g *WithT, fleet *bigFleet) {
 		part := fleet.share(0.3)
 		fleet.cutOff(part, false)
--- a/internal/gateway/discovery/wake_test.go
+++ b/internal/gateway/discovery/wake_test.go
@@ -17,7 +17,7 @@
 // A gateway whose machine slept, twice in a row, knows at once how old its knowledge is, does
 // not go on as the reader by what it knew, and has all confirmed anew soon; a change is in
 // force everywhere meanwhile.
-func TestAGatewayThatSleptHasItsKnowledgeConfirmedAnew(t *testing.T) {
+func TestStateIsConfirmedAgainAfterSuspension(t *testing.T) {
 	for _, slept := range []time.Duration{100 * time.Millisecond, 3 * time.Second, time.Minute} {
 		for _, reads := range []bool{true, false} {
 			measure(t, 12, 2, func(g *WithT, fleet *bigFleet) {
--- a/internal/gateway/rpclink/rpclink_test.go
+++ b/internal/gateway/rpclink/rpclink_test.go
@@ -39,7 +39,7 @@
 	return rpclink.Call[bool](t.Context(), link, "10.0.0.7:7000", "Gateway.Decides", 1)
 }
 
-func TestAReplyThatComesTooLateIsNotGivenOut(t *testing.T) {
+func TestLateReplyIsNotReturned(t *testing.T) {
 	for takes, decides := range map[time.Duration]bool{0: true, 99 * time.Millisecond: true, 101 * time.Millisecond: false} {
 		t.Run(takes.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
