--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -41,14 +41,14 @@
 	rollouts    map[string]catalog.Rollout
 	rolloutLog  []catalog.RolloutChange
 	// rolloutCalls counts the writes of rollouts, and the watches that told of a change.
-	rolloutCalls atomic.Int32
-	configAt     uint64
-	body         string // of the configuration; empty for its version
-	floor        uint64
-	woken        chan struct{}
-	calls        atomic.Int32
-	staleReads   atomic.Int32  // among the calls
-	delay        time.Duration // before each call is looked at
+	rolloutCalls   atomic.Int32
+	configAt       uint64
+	body           string // of the configuration; empty for its version
+	oldestRevision uint64
+	woken          chan struct{}
+	calls          atomic.Int32
+	staleReads     atomic.Int32  // among the calls
+	delay          time.Duration // before each call is looked at
 }
 
 func newFakeStore() *fakeStore {
@@ -93,20 +93,20 @@
 
 // forget drops the history, as after a compaction.
 func (s *fakeStore) forget() {
-	s.change(func() { s.floor, s.changes, s.evacuations, s.rolloutLog = s.revision, nil, nil, nil })
+	s.change(func() { s.oldestRevision, s.changes, s.evacuations, s.rolloutLog = s.revision, nil, nil, nil })
 }
 
 // access is one gateway's way to the store, which a test can cut.
 type access struct {
-	store  *fakeStore
-	down   atomic.Bool // calls fail at once
-	silent atomic.Bool // calls get no answer
-	way    time.Duration
+	store   *fakeStore
+	down    atomic.Bool // calls fail at once
+	silent  atomic.Bool // calls get no answer
+	latency time.Duration
 }
 
-func (a *access) reach(ctx context.Context) error {
+func (a *access) call(ctx context.Context) error {
 	a.store.calls.Add(1)
-	time.Sleep(a.way + a.store.delay)
+	time.Sleep(a.latency + a.store.delay)
 	if a.silent.Load() {
 		<-ctx.Done()
 		return ctx.Err()
@@ -117,10 +117,10 @@
 	return nil
 }
 
-// await waits until something happens after from; the store's lock is held when
+// awaitChange waits until something happens after from; the store's lock is held when
 // it returns without an error.
-func (a *access) await(ctx context.Context, from uint64, wait time.Duration) error {
-	if err := a.reach(ctx); err != nil {
+func (a *access) awaitChange(ctx context.Context, from uint64, wait time.Duration) error {
+	if err := a.call(ctx); err != nil {
 		return err
 	}
 	s := a.store
@@ -133,7 +133,7 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		if from < s.floor {
+		if from < s.oldestRevision {
 			s.mu.Unlock()
 			return discovery.ErrGone
 		}
@@ -168,7 +168,7 @@
 func (a *access) source() discovery.Source {
 	return discovery.Source{
 		Config: func(ctx context.Context) (discovery.Newest[discovery.ConfigObject], error) {
-			if err := a.reach(ctx); err != nil {
+			if err := a.call(ctx); err != nil {
 				return discovery.Newest[discovery.ConfigObject]{}, err
 			}
 			a.store.mu.Lock()
@@ -176,14 +176,14 @@
 			return a.latest(0), nil
 		},
 		WatchConfig: func(ctx context.Context, from uint64, wait time.Duration) (discovery.Newest[discovery.ConfigObject], error) {
-			if err := a.await(ctx, from, wait); err != nil {
+			if err := a.awaitChange(ctx, from, wait); err != nil {
 				return discovery.Newest[discovery.ConfigObject]{}, err
 			}
 			defer a.store.mu.Unlock()
 			return a.latest(from), nil
 		},
 		Targets: func(ctx context.Context) (discovery.List[catalog.Target], error) {
-			if err := a.reach(ctx); err != nil {
+			if err := a.call(ctx); err != nil {
 				return discovery.List[catalog.Target]{}, err
 			}
 			a.store.mu.Lock()
@@ -196,7 +196,7 @@
 		},
 		StaleRead: func(ctx context.Context) (discovery.StaleRead, error) {
 			a.store.staleReads.Add(1)
-			if err := a.reach(ctx); err != nil {
+			if err := a.call(ctx); err != nil {
 				return discovery.StaleRead{}, err
 			}
 			a.store.mu.Lock()
@@ -207,9 +207,9 @@
 			}
 			return staleRead, nil
 		},
-		Ping: a.reach,
+		Ping: a.call,
 		WatchTargets: func(ctx context.Context, from uint64, wait time.Duration) (discovery.Changes[catalog.Change], error) {
-			if err := a.await(ctx, from, wait); err != nil {
+			if err := a.awaitChange(ctx, from, wait); err != nil {
 				return discovery.Changes[catalog.Change]{}, err
 			}
 			defer a.store.mu.Unlock()
@@ -224,19 +224,19 @@
 	}
 }
 
-// lines keeps log lines for a test to look at.
-type lines struct {
+// logBuffer keeps log logBuffer for a test to look at.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -245,16 +245,16 @@
 // gateway is one feed with its listener and its access to the store.
 type gateway struct {
 	*discovery.Follower
-	access   *access
-	log      *lines
-	listener net.Listener
-	stop     context.CancelFunc
-	fatal    *fatal.Register // nil where a test does not look at it
-	limits   *quota.Register // likewise
-	signals  *signals.Register
-	slept    atomic.Int64 // for how long its machine was suspended
-	mu       sync.Mutex
-	conns    []net.Conn
+	access       *access
+	log          *logBuffer
+	listener     net.Listener
+	stop         context.CancelFunc
+	fatal        *fatal.Register // nil where a test does not look at it
+	limits       *quota.Register // likewise
+	signals      *signals.Register
+	suspendedFor atomic.Int64 // for how long its machine was suspended
+	mu           sync.Mutex
+	conns        []net.Conn
 }
 
 // Accept keeps the connections, so that a kill can end them.
@@ -316,10 +316,10 @@
 // fleet starts gateways in two halls that know the first two as seeds.
 func fleet(t *testing.T, s *fakeStore, n int) []*gateway {
 	t.Helper()
-	return fleetTimed(t, s, n, timing)
+	return fleetWithTiming(t, s, n, timing)
 }
 
-func fleetTimed(t *testing.T, s *fakeStore, n int, timing discovery.Timing) []*gateway {
+func fleetWithTiming(t *testing.T, s *fakeStore, n int, timing discovery.Timing) []*gateway {
 	t.Helper()
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
@@ -331,45 +331,45 @@
 	}
 	var out []*gateway
 	for i, listener := range listeners {
-		out = append(out, startTimed(t, "gateway-"+strconv.Itoa(i), i, listener, &access{store: s}, seeds, timing))
+		out = append(out, startWithTiming(t, "gateway-"+strconv.Itoa(i), i, listener, &access{store: s}, seeds, timing))
 	}
 	return out
 }
 
 func start(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string) *gateway {
 	t.Helper()
-	return startTimed(t, id, i, listener, a, seeds, timing)
+	return startWithTiming(t, id, i, listener, a, seeds, timing)
 }
 
-func startTimed(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing) *gateway {
+func startWithTiming(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing) *gateway {
 	t.Helper()
-	return startAs(t, id, i, listener, a, seeds, timing, false)
+	return startGateway(t, id, i, listener, a, seeds, timing, false)
 }
 
-// startAs starts a gateway; first says that the whole fleet is new.
-func startAs(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
+// startGateway starts a gateway; first says that the whole fleet is new.
+func startGateway(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-" + strconv.Itoa(i%2), Start: uint64(time.Now().UnixNano())}
-	return startBox(t, self, listener, a, seeds, timing, first)
+	return startMember(t, self, listener, a, seeds, timing, first)
 }
 
-// startAt starts a gateway that others reach at an address of another's.
-func startAt(t *testing.T, id string, i int, listener net.Listener, address string, a *access, seeds []string) *gateway {
+// startAdvertising starts a gateway that others reach at an address of another's.
+func startAdvertising(t *testing.T, id string, i int, listener net.Listener, address string, a *access, seeds []string) *gateway {
 	t.Helper()
 	self := member.Box{ID: id, Peer: address, Hall: "hall-" + strconv.Itoa(i%2), Start: uint64(time.Now().UnixNano())}
-	return startBox(t, self, listener, a, seeds, timing, false)
+	return startMember(t, self, listener, a, seeds, timing, false)
 }
 
-func startBox(t *testing.T, self member.Box, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
+func startMember(t *testing.T, self member.Box, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
-	return startSource(t, self, listener, a, a.source(), seeds, timing, first)
+	return startWithSource(t, self, listener, a, a.source(), seeds, timing, first)
 }
 
-// startSource starts a gateway that reads the store by a source.
-func startSource(t *testing.T, self member.Box, listener net.Listener, a *access, source discovery.Source, seeds []string, timing discovery.Timing, first bool) *gateway {
+// startWithSource starts a gateway that reads the store by a source.
+func startWithSource(t *testing.T, self member.Box, listener net.Listener, a *access, source discovery.Source, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	g := &gateway{access: a, listener: listener, stop: stop, log: &lines{}}
+	g := &gateway{access: a, listener: listener, stop: stop, log: &logBuffer{}}
 	g.Follower = discovery.New(discovery.Options{
 		Self:  self,
 		Seeds: func() []string { return seeds }, Source: source, Timing: timing, FirstStart: first,
@@ -387,22 +387,22 @@
 	return g
 }
 
-// thatRead lists the gateways that read the store. It ends their watches, so that
+// readersAfterUpdate lists the gateways that read the store. It ends their watches, so that
 // those that are not ranked first rest.
-func thatRead(s *fakeStore, gateways []*gateway) []*gateway {
+func readersAfterUpdate(s *fakeStore, gateways []*gateway) []*gateway {
 	s.setTarget("s1", false)
 	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool { return !gw.ReadsStore() })
 }
 
-// takenUp counts how often gateways took up the reading, by their logs.
-func takenUp(gateways []*gateway) (n int) {
+// readingStarts counts how often gateways took up the reading, by their logs.
+func readingStarts(gateways []*gateway) (n int) {
 	for _, gw := range gateways {
 		n += strings.Count(gw.log.String(), `msg="reading the store" reads=true`)
 	}
 	return n
 }
 
-func expectAll(g *WithT, gateways []*gateway, version uint64) {
+func expectVersion(g *WithT, gateways []*gateway, version uint64) {
 	for _, gw := range gateways {
 		g.Eventually(gw.version, eventual).Should(Equal(version))
 	}
@@ -422,11 +422,11 @@
 	s.setConfig(3)
 	s.setTarget("s1", false)
 	gateways := fleet(t, s, 6)
-	expectAll(g, gateways, 3)
+	expectVersion(g, gateways, 3)
 	s.setConfig(7)
 	s.setTarget("s2", false)
 	s.setTarget("s1", true)
-	expectAll(g, gateways, 7)
+	expectVersion(g, gateways, 7)
 	for _, gw := range gateways {
 		g.Eventually(gw.targets, eventual).Should(ConsistOf("s2"), "leaving targets take nothing new")
 	}
@@ -437,7 +437,7 @@
 		for version := range uint64(10) {
 			s.setConfig(100 + uint64(before) + version)
 		}
-		expectAll(g, gateways, 100+uint64(before)+9)
+		expectVersion(g, gateways, 100+uint64(before)+9)
 		return s.calls.Load() - before
 	}, eventual).Should(BeNumerically("<", 6*2))
 }
@@ -453,12 +453,12 @@
 			s.setConfig(1)
 			s.setTarget("s1", false)
 			gateways := fleet(t, s, 4)
-			expectAll(g, gateways, 1)
+			expectVersion(g, gateways, 1)
 			for _, gw := range gateways[:3] {
 				cut(gw.access)
 			}
 			s.setConfig(2)
-			expectAll(g, gateways, 2)
+			expectVersion(g, gateways, 2)
 		})
 	}
 }
@@ -468,11 +468,11 @@
 	s := newFilledStore()
 	patient := timing
 	patient.WatchWait = time.Minute // longer than this test waits
-	reader := startTimed(t, "reader", 0, listen(t), &access{store: s}, nil, patient)
+	reader := startWithTiming(t, "reader", 0, listen(t), &access{store: s}, nil, patient)
 	g.Eventually(reader.version, eventual).Should(Equal(uint64(1)))
 	seeds := []string{reader.Addr().String()}
-	other := startTimed(t, "other", 0, listen(t), &access{store: s}, seeds, patient)
-	expectAll(g, []*gateway{reader, other}, 1)
+	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, seeds, patient)
+	expectVersion(g, []*gateway{reader, other}, 1)
 	g.Eventually(func() bool {
 		s.setTarget("s1", false) // ends the watches, so that the one that is not ranked first rests
 		return reader.ReadsStore() != other.ReadsStore()
@@ -482,7 +482,7 @@
 	}
 	reader.access.silent.Store(true)
 	s.setConfig(2)
-	expectAll(g, []*gateway{other, reader}, 2)
+	expectVersion(g, []*gateway{other, reader}, 2)
 }
 
 func TestNewReaderConfirmsStateAtOnce(t *testing.T) {
@@ -490,10 +490,10 @@
 	s := newFilledStore()
 	patient := timing
 	patient.WatchWait = time.Hour
-	first := startTimed(t, "first", 0, listen(t), &access{store: s}, nil, patient)
-	expectAll(g, []*gateway{first}, 1)
-	other := startTimed(t, "other", 0, listen(t), &access{store: s}, []string{first.Addr().String()}, patient)
-	expectAll(g, []*gateway{other}, 1)
+	first := startWithTiming(t, "first", 0, listen(t), &access{store: s}, nil, patient)
+	expectVersion(g, []*gateway{first}, 1)
+	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, []string{first.Addr().String()}, patient)
+	expectVersion(g, []*gateway{other}, 1)
 	g.Eventually(func() bool {
 		s.setTarget("s1", false)
 		return first.ReadsStore() != other.ReadsStore()
@@ -510,19 +510,19 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 6)
-	expectAll(g, gateways, 1)
-	reading := func() []*gateway { return thatRead(s, gateways) }
+	expectVersion(g, gateways, 1)
+	reading := func() []*gateway { return readersAfterUpdate(s, gateways) }
 	g.Eventually(reading, eventual).Should(HaveLen(1))
 	first := reading()[0]
 	first.access.down.Store(true)
 	g.Eventually(func() bool { now := reading(); return len(now) == 1 && now[0] != first }, eventual).Should(BeTrue())
-	before := takenUp(gateways)
+	before := readingStarts(gateways)
 	for version := uint64(2); version < 12; version++ {
 		time.Sleep(timing.StaleAfter / 2)
 		s.setConfig(version)
-		expectAll(g, gateways, version)
+		expectVersion(g, gateways, version)
 	}
-	g.Expect(takenUp(gateways)-before).To(BeNumerically("<", len(gateways)), "the reading does not go round")
+	g.Expect(readingStarts(gateways)-before).To(BeNumerically("<", len(gateways)), "the reading does not go round")
 }
 
 func TestNotAllGatewaysStartReadingWhenReaderIsCutOff(t *testing.T) {
@@ -537,20 +537,20 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		t.Cleanup(proxy.Close)
 		proxies, seeds = append(proxies, proxy), append(seeds, proxy.Address())
-		gateways = append(gateways, startAt(t, "gateway-"+strconv.Itoa(i), i, at, proxy.Address(), &access{store: s}, seeds[:min(2, i+1)]))
+		gateways = append(gateways, startAdvertising(t, "gateway-"+strconv.Itoa(i), i, at, proxy.Address(), &access{store: s}, seeds[:min(2, i+1)]))
 	}
-	expectAll(g, gateways, 1)
-	reading := func() []*gateway { return thatRead(s, gateways) }
+	expectVersion(g, gateways, 1)
+	reading := func() []*gateway { return readersAfterUpdate(s, gateways) }
 	time.Sleep(3 * time.Second) // by then all have told each other of all
 	g.Eventually(reading, eventual).Should(HaveLen(1))
 	lost := slices.Index(gateways, reading()[0])
 	left := slices.Delete(slices.Clone(gateways), lost, lost+1)
-	before := takenUp(left)
+	before := readingStarts(left)
 	gateways[lost].access.silent.Store(true)
 	proxies[lost].Set(faultproxy.Fault{HoldRequests: true, HoldAnswers: true})
 	time.Sleep(2 * timing.MustReadAfter)
-	t.Logf("%d took up the reading", takenUp(left)-before)
-	g.Expect(takenUp(left)-before).To(BeNumerically("<", len(left)), "not all")
+	t.Logf("%d took up the reading", readingStarts(left)-before)
+	g.Expect(readingStarts(left)-before).To(BeNumerically("<", len(left)), "not all")
 	for _, gw := range left {
 		g.Expect(gw.Current()).To(BeTrue())
 	}
@@ -576,12 +576,12 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 5)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	for version := uint64(2); len(gateways) > 1; version++ {
 		gateways[0].kill() // sooner or later this is the reader
 		gateways = slices.Clone(gateways[1:])
 		s.setConfig(version)
-		expectAll(g, gateways, version)
+		expectVersion(g, gateways, version)
 	}
 }
 
@@ -591,7 +591,7 @@
 	s.setConfig(4)
 	s.setTarget("s1", false)
 	gateways := fleet(t, s, 2)
-	expectAll(g, gateways, 4)
+	expectVersion(g, gateways, 4)
 	expectCurrent(g, gateways)
 	for _, gw := range gateways {
 		gw.access.down.Store(true)
@@ -611,7 +611,7 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 3)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	expectCurrent(g, gateways)
 	for _, gw := range gateways {
 		gw.access.silent.Store(true)
@@ -622,7 +622,7 @@
 	for _, gw := range gateways {
 		gw.access.silent.Store(false)
 	}
-	expectAll(g, gateways, 2)
+	expectVersion(g, gateways, 2)
 	for _, gw := range gateways {
 		g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "s2"))
 	}
@@ -636,7 +636,7 @@
 	s.setTarget("s1", false)
 	patient := timing
 	patient.RestoreWithin = time.Hour
-	for _, gw := range fleetTimed(t, s, 5, patient) {
+	for _, gw := range fleetWithTiming(t, s, 5, patient) {
 		g.Eventually(gw.Ready(), eventual).Should(BeClosed())
 		s.setTarget("s2", false)
 		g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "s2"))
@@ -654,10 +654,10 @@
 	for i := range 6 {
 		at := listen(t)
 		seeds = append(seeds, at.Addr().String())
-		gateways = append(gateways, startAs(t, "gateway-"+strconv.Itoa(i), i, at, &access{store: s}, seeds[:1], patient, true))
+		gateways = append(gateways, startGateway(t, "gateway-"+strconv.Itoa(i), i, at, &access{store: s}, seeds[:1], patient, true))
 	}
-	expectAll(g, gateways, 1)
-	g.Expect(takenUp(gateways)).To(BeNumerically("<", 4), "those that rank first by what each has heard")
+	expectVersion(g, gateways, 1)
+	g.Expect(readingStarts(gateways)).To(BeNumerically("<", 4), "those that rank first by what each has heard")
 }
 
 func TestEntriesExpiredInOutageAreNotRemovedBeforeRestoration(t *testing.T) {
@@ -670,8 +670,8 @@
 			s.setTarget("s2", false)
 			patient := timing
 			patient.RestoreWithin = 3 * time.Second // far longer than it takes to make an entry again
-			gateways := fleetTimed(t, s, 3, patient)
-			expectAll(g, gateways, 1)
+			gateways := fleetWithTiming(t, s, 3, patient)
+			expectVersion(g, gateways, 1)
 			expectCurrent(g, gateways)
 			for _, gw := range gateways {
 				g.Eventually(gw.targets, eventual).Should(HaveLen(2))
@@ -713,7 +713,7 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 4)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	stop := make(chan struct{})
 	var watchers sync.WaitGroup
 	for _, gw := range gateways {
@@ -740,7 +740,7 @@
 	for _, gw := range gateways {
 		gw.access.down.Store(false)
 	}
-	expectAll(g, gateways, 59)
+	expectVersion(g, gateways, 59)
 	close(stop)
 	watchers.Wait()
 }
@@ -749,9 +749,9 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 1)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	s.change(func() { s.version, s.configAt, s.body = 2, s.revision, "not a number" })
 	g.Consistently(gateways[0].version, 300*time.Millisecond).Should(Equal(uint64(1)))
 	s.change(func() { s.version, s.configAt, s.body = 3, s.revision, "" })
-	expectAll(g, gateways, 3)
+	expectVersion(g, gateways, 3)
 }
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -35,7 +35,7 @@
 }
 
 // following is the source of a gateway that watches evacuations, too.
-func (a *access) following() discovery.Source { return a.followingBy(a.await) }
+func (a *access) following() discovery.Source { return a.followingBy(a.awaitChange) }
 
 // followingByLists is that of one that reads their list again each second.
 func (a *access) followingByLists() discovery.Source {
@@ -45,7 +45,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := a.reach(ctx); err != nil {
+		if err := a.call(ctx); err != nil {
 			return err
 		}
 		a.store.mu.Lock()
@@ -57,7 +57,7 @@
 func (a *access) followingBy(await func(ctx context.Context, from uint64, wait time.Duration) error) discovery.Source {
 	source := a.source()
 	source.Evacuations = func(ctx context.Context) (discovery.List[catalog.Evacuation], error) {
-		if err := a.reach(ctx); err != nil {
+		if err := a.call(ctx); err != nil {
 			return discovery.List[catalog.Evacuation]{}, err
 		}
 		a.store.mu.Lock()
@@ -237,7 +237,7 @@
 	t.Helper()
 	listener := listen(t)
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-0", Start: uint64(time.Now().UnixNano())}
-	return startSource(t, self, listener, a, a.following(), seeds, timing, false)
+	return startWithSource(t, self, listener, a, a.following(), seeds, timing, false)
 }
 
 // Messages of the revision before evacuations were followed, as its gateways send them.
@@ -380,7 +380,7 @@
 		}
 		fleet.untilAll(bound, 2)
 		took := time.Since(began)
-		fleet.t.Logf("known after %v, %d took up the reading", took, takenUp(fleet.gateways))
+		fleet.t.Logf("known after %v, %d took up the reading", took, readingStarts(fleet.gateways))
 		g.Expect(took).To(BeNumerically("<", 3*time.Second), "the time within which it must be in force")
 	})
 }
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -99,7 +99,7 @@
 	var mu sync.Mutex
 	ctx, stop := context.WithCancel(context.Background())
 	g := &gateway{
-		access: &access{store: f.store, way: f.storeWay(hall)}, listener: f.fabric.listen(address, hall), stop: stop, log: &lines{},
+		access: &access{store: f.store, latency: f.storeWay(hall)}, listener: f.fabric.listen(address, hall), stop: stop, log: &logBuffer{},
 		fatal: fatal.New(fatal.Options{}), limits: newLimits(), signals: signals.New(signals.Options{Self: strconv.Itoa(i)}),
 	}
 	places := f.places(hall)
@@ -108,7 +108,7 @@
 		Self: self, FirstStart: first, Seeds: func() []string { return []string{f.address(0), f.address(1), f.address(2)} },
 		Source: f.source(g.access), Timing: fleetTiming, Log: slog.New(slog.NewTextHandler(g.log, nil)),
 		Dial: f.fabric.dialFrom(address), Locality: func() *locality.Map { return places }, Fatal: g.fatal, UpdateKinds: []discovery.UpdateKind{g.limits.Updates(), g.signals.Updates()},
-		Clock: func() time.Time { return time.Now().Add(time.Duration(g.slept.Load())) },
+		Clock: func() time.Time { return time.Now().Add(time.Duration(g.suspendedFor.Load())) },
 		Random: func() float64 {
 			mu.Lock()
 			defer mu.Unlock()
@@ -224,7 +224,7 @@
 func TestOneGatewayReadsWhileNothingFails(t *testing.T) {
 	for _, size := range []int{2, 13, 24, fleetSize(60)} {
 		measure(t, size, 1, func(g *WithT, fleet *bigFleet) {
-			before, oldest := takenUp(fleet.gateways), time.Duration(0)
+			before, oldest := readingStarts(fleet.gateways), time.Duration(0)
 			for range 300 {
 				time.Sleep(100 * time.Millisecond)
 				for _, gw := range fleet.gateways {
@@ -232,7 +232,7 @@
 				}
 			}
 			fleet.t.Logf("knowledge was %v old at most", oldest)
-			g.Expect(takenUp(fleet.gateways)).To(Equal(before), "no other takes the reading up")
+			g.Expect(readingStarts(fleet.gateways)).To(Equal(before), "no other takes the reading up")
 			g.Expect(oldest).To(BeNumerically("<", fleetTiming.StaleAfter))
 		})
 	}
@@ -270,7 +270,7 @@
 		t.Run(name, func(t *testing.T) {
 			measure(t, fleetSize(60), 1, func(g *WithT, fleet *bigFleet) {
 				part := fleet.share(c.share)
-				before := takenUp(fleet.gateways)
+				before := readingStarts(fleet.gateways)
 				calls := fleet.store.calls.Load()
 				fleet.cutOff(part, c.oneWay)
 				for _, gw := range part {
@@ -286,12 +286,12 @@
 				time.Sleep(2*time.Second - took)
 				spent := fleet.store.calls.Load() - calls
 				fleet.t.Logf("%d took up the reading, %d of them or before in the part, %d calls; known after %v",
-					takenUp(fleet.gateways)-before, takenUp(part), spent, took)
+					readingStarts(fleet.gateways)-before, readingStarts(part), spent, took)
 				// The reader's pings are 20 of these. Of each by itself, two calls at once and
 				// three more with back-off, the third alone would make 160.
 				g.Expect(spent).To(BeNumerically("<", 130))
 				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter), "by then whoever has heard nothing reads")
-				g.Expect(takenUp(fleet.gateways) - before).To(BeNumerically("<=", c.most))
+				g.Expect(readingStarts(fleet.gateways) - before).To(BeNumerically("<=", c.most))
 				fleet.fabric.setCut(func(string, string) bool { return false })
 				for _, gw := range part {
 					gw.access.silent.Store(false)
@@ -313,15 +313,15 @@
 				gw.kill()
 			}
 			fleet.gateways = without(fleet.gateways, readers)
-			before := takenUp(fleet.gateways)
+			before := readingStarts(fleet.gateways)
 			fleet.store.setConfig(2 + round)
 			took := fleet.untilAll(fleet.gateways, 2+round)
 			time.Sleep(4 * time.Second)
-			fleet.t.Logf("%d read before, %d took it up; known after %v", len(readers), takenUp(fleet.gateways)-before, took)
+			fleet.t.Logf("%d read before, %d took it up; known after %v", len(readers), readingStarts(fleet.gateways)-before, took)
 			g.Expect(readers).NotTo(BeEmpty())
 			g.Expect(took).To(BeNumerically("<", 2500*time.Millisecond), "within the time for two failures")
 			// 1 to 5 as a rule, and 8 once in some sixty: those whose draws are early.
-			g.Expect(takenUp(fleet.gateways)-before).To(BeNumerically("<=", 12), "of a hundred")
+			g.Expect(readingStarts(fleet.gateways)-before).To(BeNumerically("<=", 12), "of a hundred")
 		}
 	})
 }
@@ -359,9 +359,9 @@
 				time.Sleep(3 * time.Second)
 				staleReads := fleet.store.staleReads.Load() - seen
 				read := fleet.store.calls.Load() - calls - staleReads
-				fleet.t.Logf("all ready %v after the last began; %d took up the reading, %d calls, %d stale reads", times[size-1], takenUp(fleet.gateways), read, staleReads)
+				fleet.t.Logf("all ready %v after the last began; %d took up the reading, %d calls, %d stale reads", times[size-1], readingStarts(fleet.gateways), read, staleReads)
 				g.Expect(times[size-1]).To(BeNumerically("<", 300*time.Millisecond))
-				g.Expect(takenUp(fleet.gateways)).To(BeNumerically("<=", 12), "those that others turn to, and whoever ranks first among the few that it has found")
+				g.Expect(readingStarts(fleet.gateways)).To(BeNumerically("<=", 12), "those that others turn to, and whoever ranks first among the few that it has found")
 				g.Expect(read).To(BeNumerically("<", 60))
 				fleet.store.setConfig(2)
 				g.Expect(fleet.untilAll(fleet.gateways, 2)).To(BeNumerically("<", 600*time.Millisecond))
@@ -381,7 +381,7 @@
 		}
 		time.Sleep(8 * time.Second)
 		spent := fleet.store.calls.Load() - calls
-		fleet.t.Logf("%d took up the reading, %d calls in 8 s", takenUp(fleet.gateways), spent)
+		fleet.t.Logf("%d took up the reading, %d calls in 8 s", readingStarts(fleet.gateways), spent)
 		g.Expect(spent).To(BeNumerically("<", 200))
 		fleet.store.removeTarget("t1")
 		fleet.store.removeTarget("t2")
--- a/internal/gateway/discovery/regions_test.go
+++ b/internal/gateway/discovery/regions_test.go
@@ -87,7 +87,7 @@
 	source.WatchTargets = watchedLater(a, source.WatchTargets)
 	ping := source.Ping
 	source.Ping = func(ctx context.Context) error {
-		defer time.Sleep(a.way)
+		defer time.Sleep(a.latency)
 		return ping(ctx)
 	}
 	return source
@@ -95,14 +95,14 @@
 
 func answeredLater[T any](a *access, call func(context.Context) (T, error)) func(context.Context) (T, error) {
 	return func(ctx context.Context) (T, error) {
-		defer time.Sleep(a.way)
+		defer time.Sleep(a.latency)
 		return call(ctx)
 	}
 }
 
 func watchedLater[T any](a *access, call func(context.Context, uint64, time.Duration) (T, error)) func(context.Context, uint64, time.Duration) (T, error) {
 	return func(ctx context.Context, from uint64, wait time.Duration) (T, error) {
-		defer time.Sleep(a.way)
+		defer time.Sleep(a.latency)
 		return call(ctx, from, wait)
 	}
 }
@@ -164,7 +164,7 @@
 			g.Expect(spent).To(BeNumerically("<", 140), "one reads, and pings three times a second")
 			fleet.t.Logf("FIGURES size %d regions %d wide %v: start %d kB; calm: %d calls, oldest %v, %.1f kB/s, %.0f writes/s between regions; took up %d, reads in %v; in force after %v",
 				size, regions, wide, before.bytes/1000, spent, oldest.Round(time.Millisecond), float64(after.bytes-before.bytes)/calm/1000,
-				float64(after.writes-before.writes)/calm, takenUp(fleet.gateways), fleet.readingRegions(), took)
+				float64(after.writes-before.writes)/calm, readingStarts(fleet.gateways), fleet.readingRegions(), took)
 		})
 	}
 }
@@ -199,7 +199,7 @@
 			overRegions(t, fleetSize(48), 3, 1, usualWide, func(g *WithT, fleet *regional) {
 				part := fleet.in(c.region)
 				rest := without(fleet.gateways, part)
-				before, calls := takenUp(fleet.gateways), fleet.store.calls.Load()
+				before, calls := readingStarts(fleet.gateways), fleet.store.calls.Load()
 				fleet.cutRegions([]string{c.region}, c.oneWay)
 				dark := part
 				if name == "where the others don't reach it" {
@@ -219,7 +219,7 @@
 				time.Sleep(3*time.Second - took)
 				spent := fleet.store.calls.Load() - calls
 				fleet.t.Logf("%d took up the reading, %d calls in 7 s; known after %v where the store is reached; %d bytes between regions in 3 s",
-					takenUp(fleet.gateways)-before, spent, took, fleet.wide().bytes-sent.bytes)
+					readingStarts(fleet.gateways)-before, spent, took, fleet.wide().bytes-sent.bytes)
 				g.Expect(took).To(BeNumerically("<", 500*time.Millisecond))
 				g.Expect(spent).To(BeNumerically("<", 150))
 				for _, gw := range fleet.gateways {
@@ -250,7 +250,7 @@
 				}
 				return 0
 			})
-			before, calls := takenUp(fleet.gateways), fleet.store.calls.Load()
+			before, calls := readingStarts(fleet.gateways), fleet.store.calls.Load()
 			var took []time.Duration
 			for version := uint64(2); version < 12; version++ {
 				fleet.store.setConfig(version)
@@ -259,10 +259,10 @@
 			}
 			spent := fleet.store.calls.Load() - calls
 			fleet.t.Logf("%.0f of 100 packets lost: in force after %v; %d took up the reading, %d calls in 10 s",
-				100*share, took, takenUp(fleet.gateways)-before, spent)
+				100*share, took, readingStarts(fleet.gateways)-before, spent)
 			g.Expect(slices.Max(took)).To(BeNumerically("<", time.Second))
 			g.Expect(spent).To(BeNumerically("<", 150))
-			g.Expect(takenUp(fleet.gateways) - before).To(BeNumerically("<=", 6))
+			g.Expect(readingStarts(fleet.gateways) - before).To(BeNumerically("<=", 6))
 		})
 	}
 }
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -71,7 +71,7 @@
 func (a *access) rollingOut() discovery.Source {
 	source := a.following()
 	source.Rollouts = func(ctx context.Context) (discovery.List[catalog.Rollout], error) {
-		if err := a.reach(ctx); err != nil {
+		if err := a.call(ctx); err != nil {
 			return discovery.List[catalog.Rollout]{}, err
 		}
 		a.store.mu.Lock()
@@ -83,7 +83,7 @@
 		return source.Rollouts(ctx)
 	}
 	source.WatchRollouts = func(ctx context.Context, from uint64, wait time.Duration) (discovery.Changes[catalog.RolloutChange], error) {
-		if err := a.await(ctx, from, wait); err != nil {
+		if err := a.awaitChange(ctx, from, wait); err != nil {
 			return discovery.Changes[catalog.RolloutChange]{}, err
 		}
 		defer a.store.mu.Unlock()
@@ -99,7 +99,7 @@
 		return changes, nil
 	}
 	source.RecordRollout = func(ctx context.Context, r catalog.Rollout) (discovery.RecordResult, error) {
-		if err := a.reach(ctx); err != nil {
+		if err := a.call(ctx); err != nil {
 			return discovery.RecordResult{}, err
 		}
 		return a.store.recordRollout(r)
@@ -235,7 +235,7 @@
 	t.Helper()
 	listener := listen(t)
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-0", Start: uint64(time.Now().UnixNano())}
-	return startSource(t, self, listener, a, a.rollingOut(), seeds, timing, false)
+	return startWithSource(t, self, listener, a, a.rollingOut(), seeds, timing, false)
 }
 
 func TestPeerWithoutRolloutsIsServed(t *testing.T) {
--- a/internal/gateway/discovery/wake_test.go
+++ b/internal/gateway/discovery/wake_test.go
@@ -10,7 +10,7 @@
 
 // sleep suspends a gateway's machine: its clock counts the time, its timers don't.
 func (g *gateway) sleep(d time.Duration) {
-	g.slept.Add(int64(d))
+	g.suspendedFor.Add(int64(d))
 	g.Wake()
 }
 
