--- a/internal/gateway/discovery/calm_test.go
+++ b/internal/gateway/discovery/calm_test.go
@@ -19,7 +19,7 @@
 func TestPollIsAnsweredBeforeCallersStateIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		fleet := newBigFleet(t, 1, 0, (*access).source)
+		fleet := newVirtualFleet(t, 1, 0, (*access).source)
 		defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
 		defer fleet.stopAll()
 		gw := fleet.gateways[0]
--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -46,8 +46,8 @@
 
 // carriesOut makes the gateways of a fleet carry rollouts out, as if each sent eight
 // requests a second of four routes.
-func carriesOut(f *bigFleet, c *carried) {
-	f.beside = func(ctx context.Context, g *gateway, self member.Box) []discovery.Service {
+func carriesOut(f *virtualFleet, c *carried) {
+	f.extraServices = func(ctx context.Context, g *gateway, self member.Box) []discovery.Service {
 		began := time.Now()
 		dial := f.fabric.dialFrom(self.Peer)
 		source := g.access.rollingOut()
@@ -107,12 +107,12 @@
 }
 
 // carryOut runs f on a fleet that carries rollouts out.
-func carryOut(t *testing.T, size int, f func(g *WithT, fleet *bigFleet, c *carried)) {
+func carryOut(t *testing.T, size int, f func(g *WithT, fleet *virtualFleet, c *carried)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &carried{}
-		fleet := &bigFleet{t: t, fabric: newFabric(), store: newFilledStore(), source: (*access).rollingOut}
+		fleet := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), source: (*access).rollingOut}
 		carriesOut(fleet, c)
-		fleet.begin(size)
+		fleet.startAll(size)
 		defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
 		defer fleet.stopAll()
 		f(NewWithT(t), fleet, c)
@@ -120,7 +120,7 @@
 }
 
 // rolloutEnds waits until an order has its verdict, and how long that took.
-func (f *bigFleet) rolloutEnds() (catalog.Rollout, time.Duration) {
+func (f *virtualFleet) rolloutEnds() (catalog.Rollout, time.Duration) {
 	began := time.Now()
 	for time.Since(began) < 30*time.Second && !f.rollout().State.Final() {
 		time.Sleep(time.Millisecond)
@@ -128,7 +128,7 @@
 	return f.rollout(), time.Since(began)
 }
 
-func (f *bigFleet) rollout() catalog.Rollout {
+func (f *virtualFleet) rollout() catalog.Rollout {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	return f.store.rollouts["shop"]
@@ -136,7 +136,7 @@
 
 func TestRolloutTrafficIsBounded(t *testing.T) {
 	for _, size := range []int{3, fleetSize(106)} {
-		carryOut(t, size, func(g *WithT, fleet *bigFleet, c *carried) {
+		carryOut(t, size, func(g *WithT, fleet *virtualFleet, c *carried) {
 			fleet.store.rolloutCalls.Store(0)
 			fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 			r, took := fleet.rolloutEnds()
@@ -157,10 +157,10 @@
 }
 
 func TestFailingVersionIsRolledBackAfterDeciderIsKilled(t *testing.T) {
-	carryOut(t, fleetSize(60), func(g *WithT, fleet *bigFleet, c *carried) {
+	carryOut(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *carried) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		g.Expect(fleet.untilShare(fleet.gateways, 130)).To(BeNumerically("<", 5*time.Second))
-		readers := thatReadNow(fleet.gateways)
+		readers := readersByLog(fleet.gateways)
 		for _, gw := range readers {
 			gw.kill()
 		}
@@ -177,10 +177,10 @@
 }
 
 func TestPartitionWithDeciderRollsBackOnBothSides(t *testing.T) {
-	carryOut(t, fleetSize(60), func(g *WithT, fleet *bigFleet, c *carried) {
+	carryOut(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *carried) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		fleet.untilShare(fleet.gateways, 130)
-		part := append(fleet.share(0.5), thatReadNow(fleet.gateways)...)
+		part := append(fleet.sample(0.5), readersByLog(fleet.gateways)...)
 		fleet.cutOff(part, false)
 		c.failing.Store(true)
 		took := fleet.untilShare(fleet.gateways, 0)
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -95,9 +95,9 @@
 
 // untilEvacuated is how long it takes until so many halls are evacuated for all of some
 // gateways.
-func (f *bigFleet) untilEvacuated(gateways []*gateway, halls int) time.Duration {
+func (f *virtualFleet) untilEvacuated(gateways []*gateway, halls int) time.Duration {
 	began := time.Now()
-	for time.Since(began) < 2*patience {
+	for time.Since(began) < 2*waitLimit {
 		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.EvacuatedHallCount() != halls }) {
 			break
 		}
@@ -117,7 +117,7 @@
 		"by a list read each second": {(*access).followingByLists, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			measureReading(t, fleetSize(95), 1, c.source, func(g *WithT, fleet *bigFleet) {
+			onFleetWithSource(t, fleetSize(95), 1, c.source, func(g *WithT, fleet *virtualFleet) {
 				const calm = 10 // seconds
 				calls := fleet.store.calls.Load()
 				time.Sleep(calm * time.Second)
@@ -142,51 +142,51 @@
 // What happens to the store and to whoever reads it in the moment in which an
 // evacuation is acknowledged.
 func TestEvacuationIsAppliedDespiteFailureAtAcknowledgement(t *testing.T) {
-	all := func(fleet *bigFleet, do func(g *gateway)) {
+	all := func(fleet *virtualFleet, do func(g *gateway)) {
 		for _, gw := range fleet.gateways {
 			do(gw)
 		}
 	}
-	for name, fail := range map[string]func(fleet *bigFleet) (bound []*gateway){
-		"nothing": func(fleet *bigFleet) []*gateway { return fleet.gateways },
-		"those that read are killed": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+	for name, fail := range map[string]func(fleet *virtualFleet) (bound []*gateway){
+		"nothing": func(fleet *virtualFleet) []*gateway { return fleet.gateways },
+		"those that read are killed": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.kill()
 			}
 			return without(fleet.gateways, readers)
 		},
-		"those that read are cut off from all": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+		"those that read are cut off from all": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.access.silent.Store(true)
 			}
 			fleet.cutOff(readers, false)
 			return without(fleet.gateways, readers)
 		},
-		"the store is down for two seconds": func(fleet *bigFleet) []*gateway {
+		"the store is down for two seconds": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.down.Store(true) })
 			time.Sleep(2 * time.Second)
 			all(fleet, func(g *gateway) { g.access.down.Store(false) })
 			return fleet.gateways
 		},
-		"the store is silent for two seconds": func(fleet *bigFleet) []*gateway {
+		"the store is silent for two seconds": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.silent.Store(true) })
 			time.Sleep(2 * time.Second)
 			all(fleet, func(g *gateway) { g.access.silent.Store(false) })
 			return fleet.gateways
 		},
-		"a third is turned away, whoever reads among them": func(fleet *bigFleet) []*gateway {
-			for _, gw := range append(thatReadNow(fleet.gateways), fleet.share(0.35)...) {
+		"a third is turned away, whoever reads among them": func(fleet *virtualFleet) []*gateway {
+			for _, gw := range append(readersByLog(fleet.gateways), fleet.sample(0.35)...) {
 				gw.access.down.Store(true)
 			}
 			return fleet.gateways
 		},
-		"the history is forgotten": func(fleet *bigFleet) []*gateway {
+		"the history is forgotten": func(fleet *virtualFleet) []*gateway {
 			fleet.store.forget()
 			return fleet.gateways
 		},
-		"it is begun, ended and begun again while nobody can look": func(fleet *bigFleet) []*gateway {
+		"it is begun, ended and begun again while nobody can look": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.silent.Store(true) })
 			fleet.store.evacuate("hall-1", false)
 			fleet.store.evacuate("hall-1", true)
@@ -196,7 +196,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			measureReading(t, fleetSize(30), 1, (*access).following, func(g *WithT, fleet *bigFleet) {
+			onFleetWithSource(t, fleetSize(30), 1, (*access).following, func(g *WithT, fleet *virtualFleet) {
 				fleet.store.evacuate("hall-1", true)
 				bound := fail(fleet)
 				took := fleet.untilEvacuated(bound, 1)
@@ -337,7 +337,7 @@
 // nothing: what it said of evacuations once made others take themselves for as far, with
 // no targets.
 func TestFleetRestartDistributesAllTargets(t *testing.T) {
-	measureReading(t, fleetSize(60), 1, (*access).following, func(g *WithT, fleet *bigFleet) {
+	onFleetWithSource(t, fleetSize(60), 1, (*access).following, func(g *WithT, fleet *virtualFleet) {
 		fleet.store.evacuate("hall-1", true)
 		size := len(fleet.gateways)
 		fleet.stopAll()
@@ -357,8 +357,8 @@
 // A third is turned away by the store and a quarter cut off: whoever reads, the standbys
 // and the two that try after them are among these.
 func TestChangeReachesFleetWhenFirstReadersFail(t *testing.T) {
-	measureReading(t, fleetSize(60), 4, (*access).following, func(g *WithT, fleet *bigFleet) {
-		struck := thatReadNow(fleet.gateways)
+	onFleetWithSource(t, fleetSize(60), 4, (*access).following, func(g *WithT, fleet *virtualFleet) {
+		struck := readersByLog(fleet.gateways)
 		for _, gw := range struck {
 			gw.access.down.Store(true)
 		}
@@ -366,8 +366,8 @@
 		bound := fleet.gateways
 		const fail = 5
 		began := time.Now()
-		for ; len(struck) < fail && time.Since(began) < patience; time.Sleep(time.Millisecond) {
-			for _, gw := range without(thatReadNow(fleet.gateways), struck) {
+		for ; len(struck) < fail && time.Since(began) < waitLimit; time.Sleep(time.Millisecond) {
+			for _, gw := range without(readersByLog(fleet.gateways), struck) {
 				struck = append(struck, gw)
 				if len(struck) < fail {
 					gw.access.down.Store(true)
@@ -378,7 +378,7 @@
 				bound = without(fleet.gateways, []*gateway{gw})
 			}
 		}
-		fleet.untilAll(bound, 2)
+		fleet.untilVersion(bound, 2)
 		took := time.Since(began)
 		fleet.t.Logf("known after %v, %d took up the reading", took, readingStarts(fleet.gateways))
 		g.Expect(took).To(BeNumerically("<", 3*time.Second), "the time within which it must be in force")
--- a/internal/gateway/discovery/fatal_test.go
+++ b/internal/gateway/discovery/fatal_test.go
@@ -24,7 +24,7 @@
 // untilAllRefuse is how long it takes until some gateways have the request quarantined.
 func untilAllRefuse(gateways []*gateway) time.Duration {
 	began := time.Now()
-	for time.Since(began) < patience && slices.ContainsFunc(gateways, func(g *gateway) bool { return !g.refuses() }) {
+	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return !g.refuses() }) {
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
@@ -45,7 +45,7 @@
 // No gateway sees more than one of the three ends.
 func TestFatalRequestReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
-		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
+		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
 			rate := func() float64 { // of writes, a second and gateway
 				writes := fleet.fabric.writes.Load()
 				time.Sleep(5 * time.Second)
@@ -68,8 +68,8 @@
 }
 
 func TestStartedOrPartitionedGatewayReceivesFatalRequest(t *testing.T) {
-	measure(t, fleetSize(30), 2, func(g *WithT, fleet *bigFleet) {
-		part := fleet.share(0.3)
+	onFleet(t, fleetSize(30), 2, func(g *WithT, fleet *virtualFleet) {
+		part := fleet.sample(0.3)
 		fleet.cutOff(part, false)
 		time.Sleep(time.Second)
 		endTargets(without(fleet.gateways, part), 3)
@@ -91,7 +91,7 @@
 
 // 64 targets end at once, each with eight requests under way: a hall loses power.
 func TestManySimultaneousTargetEndsTakeBoundedTraffic(t *testing.T) {
-	measure(t, 17, 1, func(g *WithT, fleet *bigFleet) {
+	onFleet(t, 17, 1, func(g *WithT, fleet *virtualFleet) {
 		bytes := fleet.fabric.all.Load()
 		for i := range 512 {
 			request := quarantine.Request{Print: fingerprint.Fingerprint{Content: fmt.Sprint("r", i), Caller: "caller"}, Service: "shop"}
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -39,8 +39,8 @@
 	OutageAfter: 4 * time.Second, RestoreWithin: 2300 * time.Millisecond,
 }
 
-// bigFleet is a fleet of gateways in virtual time.
-type bigFleet struct {
+// virtualFleet is a fleet of gateways in virtual time.
+type virtualFleet struct {
 	t        *testing.T
 	fabric   *fabric
 	store    *fakeStore
@@ -48,14 +48,14 @@
 	gateways []*gateway
 	// source is how gateways read the store.
 	source func(*access) discovery.Source
-	// beside starts what a gateway does besides, and gives what others may call of it; it
+	// extraServices starts what a gateway does besides, and gives what others may call of it; it
 	// may be nil.
-	beside func(ctx context.Context, g *gateway, self member.Box) []discovery.Service
+	extraServices func(ctx context.Context, g *gateway, self member.Box) []discovery.Service
 	// halls is how many there are, places what the gateways of one know of regions, and
 	// storeWay how far the store is from one; begin sets what is left out.
-	halls    int
-	places   func(hall string) *locality.Map
-	storeWay func(hall string) time.Duration
+	halls        int
+	locality     func(hall string) *locality.Map
+	storeLatency func(hall string) time.Duration
 }
 
 func fleetSize(usual int) int {
@@ -65,20 +65,20 @@
 	return usual
 }
 
-// newBigFleet starts a fleet for the first time, whose gateways read the store by a
+// newVirtualFleet starts a fleet for the first time, whose gateways read the store by a
 // source, and waits until it has settled.
-func newBigFleet(t *testing.T, size int, seed uint64, source func(*access) discovery.Source) *bigFleet {
-	f := &bigFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: source}
-	f.begin(size)
+func newVirtualFleet(t *testing.T, size int, seed uint64, source func(*access) discovery.Source) *virtualFleet {
+	f := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: source}
+	f.startAll(size)
 	return f
 }
 
-// begin starts all gateways and waits until the fleet has settled.
-func (f *bigFleet) begin(size int) {
+// startAll starts all gateways and waits until the fleet has settled.
+func (f *virtualFleet) startAll(size int) {
 	if f.halls == 0 {
 		f.halls = fleetHalls
-		f.storeWay = func(string) time.Duration { return 0 }
-		f.places = func(hall string) *locality.Map { return locality.New(hall, "", nil) }
+		f.storeLatency = func(string) time.Duration { return 0 }
+		f.locality = func(hall string) *locality.Map { return locality.New(hall, "", nil) }
 	}
 	f.store.delay = 4 * time.Millisecond
 	for i := range 300 {
@@ -90,19 +90,19 @@
 	time.Sleep(8 * time.Second)
 }
 
-func (f *bigFleet) address(i int) string { return "10.0.0." + strconv.Itoa(i) + ":80" }
+func (f *virtualFleet) address(i int) string { return "10.0.0." + strconv.Itoa(i) + ":80" }
 
 // start starts a gateway; the first of three halls are the seeds of all.
-func (f *bigFleet) start(i int, first bool) *gateway {
+func (f *virtualFleet) start(i int, first bool) *gateway {
 	address, hall := f.address(i), "hall-"+strconv.Itoa(i%f.halls)
 	draws := rand.New(rand.NewPCG(f.seed, uint64(i)))
 	var mu sync.Mutex
 	ctx, stop := context.WithCancel(context.Background())
 	g := &gateway{
-		access: &access{store: f.store, latency: f.storeWay(hall)}, listener: f.fabric.listen(address, hall), stop: stop, log: &logBuffer{},
+		access: &access{store: f.store, latency: f.storeLatency(hall)}, listener: f.fabric.listen(address, hall), stop: stop, log: &logBuffer{},
 		fatal: fatal.New(fatal.Options{}), limits: newLimits(), signals: signals.New(signals.Options{Self: strconv.Itoa(i)}),
 	}
-	places := f.places(hall)
+	places := f.locality(hall)
 	self := member.Box{ID: "gateway-" + strconv.Itoa(i), Peer: address, Hall: hall, Start: uint64(time.Now().UnixNano())}
 	g.Follower = discovery.New(discovery.Options{
 		Self: self, FirstStart: first, Seeds: func() []string { return []string{f.address(0), f.address(1), f.address(2)} },
@@ -126,23 +126,23 @@
 		go func() { _ = duty(ctx) }()
 	}
 	var more []discovery.Service
-	if f.beside != nil {
-		more = f.beside(ctx, g, self)
+	if f.extraServices != nil {
+		more = f.extraServices(ctx, g, self)
 	}
 	go func() { _ = g.Serve(g, more...) }()
 	return g
 }
 
 // stopAll ends all gateways; what was cut is whole again, so that all hear of it.
-func (f *bigFleet) stopAll() {
+func (f *virtualFleet) stopAll() {
 	f.fabric.setCut(func(string, string) bool { return false })
 	for _, g := range f.gateways {
 		g.kill()
 	}
 }
 
-// share lists the gateways that are struck where a share of all is: every so many-th.
-func (f *bigFleet) share(share float64) []*gateway {
+// sample lists the gateways that are struck where a sample of all is: every so many-th.
+func (f *virtualFleet) sample(share float64) []*gateway {
 	random := rand.New(rand.NewPCG(f.seed, 99))
 	struck := slices.Clone(f.gateways)
 	random.Shuffle(len(struck), func(i, j int) { struck[i], struck[j] = struck[j], struck[i] })
@@ -151,7 +151,7 @@
 
 // cutOff cuts the ways between some gateways and all others; oneWay leaves those out of
 // the part open.
-func (f *bigFleet) cutOff(part []*gateway, oneWay bool) {
+func (f *virtualFleet) cutOff(part []*gateway, oneWay bool) {
 	inside := map[string]bool{}
 	for _, g := range part {
 		inside[g.Addr().String()] = true
@@ -161,10 +161,10 @@
 	})
 }
 
-// untilAll is how long it takes until a version is in force at all of some gateways.
-func (f *bigFleet) untilAll(gateways []*gateway, version uint64) time.Duration {
+// untilVersion is how long it takes until a version is in force at all of some gateways.
+func (f *virtualFleet) untilVersion(gateways []*gateway, version uint64) time.Duration {
 	began := time.Now()
-	for time.Since(began) < patience {
+	for time.Since(began) < waitLimit {
 		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.version() < version }) {
 			return time.Since(began)
 		}
@@ -175,28 +175,28 @@
 			f.t.Logf("%s has not heard of it: %s", g.Addr(), g.log)
 		}
 	}
-	return patience
+	return waitLimit
 }
 
-// patience is how long a test waits for what should come at once.
-const patience = 5 * time.Second
+// waitLimit is how long a test waits for what should come at once.
+const waitLimit = 5 * time.Second
 
 // without lists the gateways that are not in a part.
 func without(all, part []*gateway) []*gateway {
 	return slices.DeleteFunc(slices.Clone(all), func(g *gateway) bool { return slices.Contains(part, g) })
 }
 
-// measure runs f on a settled fleet for some seeds, each in a bubble of its own.
-func measure(t *testing.T, size int, seeds uint64, f func(g *WithT, fleet *bigFleet)) {
-	measureReading(t, size, seeds, (*access).source, f)
+// onFleet runs f on a settled fleet for some seeds, each in a bubble of its own.
+func onFleet(t *testing.T, size int, seeds uint64, f func(g *WithT, fleet *virtualFleet)) {
+	onFleetWithSource(t, size, seeds, (*access).source, f)
 }
 
-// measureReading is measure where gateways read the store in a way of their own.
-func measureReading(t *testing.T, size int, seeds uint64, source func(*access) discovery.Source, f func(g *WithT, fleet *bigFleet)) {
+// onFleetWithSource is measure where gateways read the store in a way of their own.
+func onFleetWithSource(t *testing.T, size int, seeds uint64, source func(*access) discovery.Source, f func(g *WithT, fleet *virtualFleet)) {
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("%d gateways, seed %d", size, seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				fleet := newBigFleet(t, size, seed, source)
+				fleet := newVirtualFleet(t, size, seed, source)
 				defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
 				defer fleet.stopAll()
 				f(NewWithT(t), fleet)
@@ -206,11 +206,11 @@
 }
 
 func TestConfigurationChangeReachesFleetWithin600ms(t *testing.T) {
-	measure(t, fleetSize(100), 2, func(g *WithT, fleet *bigFleet) {
+	onFleet(t, fleetSize(100), 2, func(g *WithT, fleet *virtualFleet) {
 		calls := fleet.store.calls.Load()
 		for version := uint64(2); version < 6; version++ {
 			fleet.store.setConfig(version)
-			took := fleet.untilAll(fleet.gateways, version)
+			took := fleet.untilVersion(fleet.gateways, version)
 			fleet.t.Logf("in force everywhere after %v", took)
 			g.Expect(took).To(BeNumerically("<", 600*time.Millisecond), "a pause in which more may gather, and the way")
 			time.Sleep(time.Second)
@@ -223,7 +223,7 @@
 
 func TestOneGatewayReadsWhileNothingFails(t *testing.T) {
 	for _, size := range []int{2, 13, 24, fleetSize(60)} {
-		measure(t, size, 1, func(g *WithT, fleet *bigFleet) {
+		onFleet(t, size, 1, func(g *WithT, fleet *virtualFleet) {
 			before, oldest := readingStarts(fleet.gateways), time.Duration(0)
 			for range 300 {
 				time.Sleep(100 * time.Millisecond)
@@ -239,7 +239,7 @@
 }
 
 func TestTrafficBetweenHallsIsBounded(t *testing.T) {
-	measure(t, fleetSize(100), 1, func(g *WithT, fleet *bigFleet) {
+	onFleet(t, fleetSize(100), 1, func(g *WithT, fleet *virtualFleet) {
 		size := float64(len(fleet.gateways))
 		fleet.t.Logf("%.0f bytes between halls a gateway while the fleet starts", float64(fleet.fabric.far.Load())/size)
 		all, far, writes := fleet.fabric.all.Load(), fleet.fabric.far.Load(), fleet.fabric.writes.Load()
@@ -268,8 +268,8 @@
 		"a third, one way, and from the store": {0.35, true, false, 60},
 	} {
 		t.Run(name, func(t *testing.T) {
-			measure(t, fleetSize(60), 1, func(g *WithT, fleet *bigFleet) {
-				part := fleet.share(c.share)
+			onFleet(t, fleetSize(60), 1, func(g *WithT, fleet *virtualFleet) {
+				part := fleet.sample(c.share)
 				before := readingStarts(fleet.gateways)
 				calls := fleet.store.calls.Load()
 				fleet.cutOff(part, c.oneWay)
@@ -282,7 +282,7 @@
 				if !c.store {
 					bound = without(fleet.gateways, part)
 				}
-				took := fleet.untilAll(bound, 2)
+				took := fleet.untilVersion(bound, 2)
 				time.Sleep(2*time.Second - took)
 				spent := fleet.store.calls.Load() - calls
 				fleet.t.Logf("%d took up the reading, %d of them or before in the part, %d calls; known after %v",
@@ -298,24 +298,24 @@
 				}
 				time.Sleep(4 * time.Second)
 				fleet.store.setConfig(3)
-				g.Expect(fleet.untilAll(fleet.gateways, 3)).To(BeNumerically("<", time.Second), "the parts have found each other")
-				g.Expect(len(thatReadNow(fleet.gateways))).To(BeNumerically("<=", 2))
+				g.Expect(fleet.untilVersion(fleet.gateways, 3)).To(BeNumerically("<", time.Second), "the parts have found each other")
+				g.Expect(len(readersByLog(fleet.gateways))).To(BeNumerically("<=", 2))
 			})
 		})
 	}
 }
 
 func TestReadersAreReplacedWhenAllAreKilled(t *testing.T) {
-	measure(t, fleetSize(100), 2, func(g *WithT, fleet *bigFleet) {
+	onFleet(t, fleetSize(100), 2, func(g *WithT, fleet *virtualFleet) {
 		for round := range uint64(3) {
-			readers := thatReadNow(fleet.gateways)
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.kill()
 			}
 			fleet.gateways = without(fleet.gateways, readers)
 			before := readingStarts(fleet.gateways)
 			fleet.store.setConfig(2 + round)
-			took := fleet.untilAll(fleet.gateways, 2+round)
+			took := fleet.untilVersion(fleet.gateways, 2+round)
 			time.Sleep(4 * time.Second)
 			fleet.t.Logf("%d read before, %d took it up; known after %v", len(readers), readingStarts(fleet.gateways)-before, took)
 			g.Expect(readers).NotTo(BeEmpty())
@@ -332,7 +332,7 @@
 		"those that others turn to later": 400 * time.Millisecond,
 	} {
 		t.Run(name, func(t *testing.T) {
-			measure(t, fleetSize(100), 1, func(g *WithT, fleet *bigFleet) {
+			onFleet(t, fleetSize(100), 1, func(g *WithT, fleet *virtualFleet) {
 				size := len(fleet.gateways)
 				fleet.stopAll()
 				time.Sleep(time.Second)
@@ -350,7 +350,7 @@
 				for _, gw := range fleet.gateways {
 					select {
 					case <-gw.Ready():
-					case <-time.After(patience):
+					case <-time.After(waitLimit):
 						t.Fatalf("%s is not ready: %s", gw.Addr(), gw.log)
 					}
 					times = append(times, time.Since(began))
@@ -364,7 +364,7 @@
 				g.Expect(readingStarts(fleet.gateways)).To(BeNumerically("<=", 12), "those that others turn to, and whoever ranks first among the few that it has found")
 				g.Expect(read).To(BeNumerically("<", 60))
 				fleet.store.setConfig(2)
-				g.Expect(fleet.untilAll(fleet.gateways, 2)).To(BeNumerically("<", 600*time.Millisecond))
+				g.Expect(fleet.untilVersion(fleet.gateways, 2)).To(BeNumerically("<", 600*time.Millisecond))
 				for _, gw := range fleet.gateways {
 					g.Expect(gw.Current()).To(BeTrue(), "what was read from an older copy has been confirmed")
 				}
@@ -374,7 +374,7 @@
 }
 
 func TestFewGatewaysCallUnreachableStore(t *testing.T) {
-	measure(t, fleetSize(100), 2, func(g *WithT, fleet *bigFleet) {
+	onFleet(t, fleetSize(100), 2, func(g *WithT, fleet *virtualFleet) {
 		calls := fleet.store.calls.Load()
 		for _, gw := range fleet.gateways {
 			gw.access.down.Store(true)
@@ -404,8 +404,8 @@
 	})
 }
 
-// thatReadNow lists the gateways that read the store.
-func thatReadNow(gateways []*gateway) []*gateway {
+// readersByLog lists the gateways that read the store.
+func readersByLog(gateways []*gateway) []*gateway {
 	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool {
 		text := gw.log.String()
 		return strings.LastIndex(text, "reads=true") <= strings.LastIndex(text, "reads=false")
--- a/internal/gateway/discovery/lives_test.go
+++ b/internal/gateway/discovery/lives_test.go
@@ -34,7 +34,7 @@
 // A target that left starts again under its id, three times in a second, while word of its
 // earlier lives still comes; and an entry without the time of a start is another writer's.
 func TestFleetFollowsTargetIncarnations(t *testing.T) {
-	measure(t, 12, 2, func(g *WithT, fleet *bigFleet) {
+	onFleet(t, 12, 2, func(g *WithT, fleet *virtualFleet) {
 		store := fleet.store
 		for i := range 300 {
 			store.setLife(fmt.Sprint("t", i), 1, "10.0.0.1:80", false)
--- a/internal/gateway/discovery/regions_test.go
+++ b/internal/gateway/discovery/regions_test.go
@@ -45,25 +45,25 @@
 
 // regional is a fleet over regions.
 type regional struct {
-	*bigFleet
+	*virtualFleet
 	regions int
 }
 
 func newRegional(t *testing.T, size, regions int, seed uint64, wide time.Duration) *regional {
-	f := &bigFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: distantSource, halls: regions * hallsOfRegion}
+	f := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: distantSource, halls: regions * hallsOfRegion}
 	f.fabric.farDelay, f.fabric.wideDelay, f.fabric.regions = inRegionDelay, wide, map[string]string{}
 	for hall := range f.halls {
 		f.fabric.regions["hall-"+strconv.Itoa(hall)] = "region-" + strconv.Itoa(hall%regions)
 	}
-	f.storeWay = func(hall string) time.Duration {
+	f.storeLatency = func(hall string) time.Duration {
 		if f.fabric.regions[hall] == storeRegion {
 			return inRegionDelay
 		}
 		return wide
 	}
-	f.places = func(hall string) *locality.Map { return locality.New(hall, "", f.fabric.regions) }
-	f.begin(size)
-	return &regional{bigFleet: f, regions: regions}
+	f.locality = func(hall string) *locality.Map { return locality.New(hall, "", f.fabric.regions) }
+	f.startAll(size)
+	return &regional{virtualFleet: f, regions: regions}
 }
 
 // in lists the gateways of a region.
@@ -138,7 +138,7 @@
 
 // readingRegions lists the regions of the gateways that read the store.
 func (f *regional) readingRegions() (regions []string) {
-	for _, gw := range thatReadNow(f.gateways) {
+	for _, gw := range readersByLog(f.gateways) {
 		regions = append(regions, f.regionOf(gw))
 	}
 	return regions
@@ -156,7 +156,7 @@
 			var took []time.Duration
 			for version := uint64(2); version < 8; version++ {
 				fleet.store.setConfig(version)
-				took = append(took, fleet.untilAll(fleet.gateways, version).Round(time.Millisecond))
+				took = append(took, fleet.untilVersion(fleet.gateways, version).Round(time.Millisecond))
 				time.Sleep(time.Second)
 			}
 			g.Expect(slices.Max(took)).To(BeNumerically("<=", 5*wide+inForceSlack))
@@ -215,7 +215,7 @@
 				time.Sleep(4 * time.Second)
 				sent := fleet.wide()
 				fleet.store.setConfig(2)
-				took := fleet.untilAll(reached, 2)
+				took := fleet.untilVersion(reached, 2)
 				time.Sleep(3*time.Second - took)
 				spent := fleet.store.calls.Load() - calls
 				fleet.t.Logf("%d took up the reading, %d calls in 7 s; known after %v where the store is reached; %d bytes between regions in 3 s",
@@ -231,10 +231,10 @@
 				}
 				time.Sleep(6 * time.Second)
 				fleet.store.setConfig(3)
-				took = fleet.untilAll(fleet.gateways, 3)
+				took = fleet.untilVersion(fleet.gateways, 3)
 				fleet.t.Logf("healed: known after %v, reads in %v", took, fleet.readingRegions())
 				g.Expect(took).To(BeNumerically("<", 500*time.Millisecond), "the regions have found each other")
-				g.Expect(len(thatReadNow(fleet.gateways))).To(BeNumerically("<=", 2))
+				g.Expect(len(readersByLog(fleet.gateways))).To(BeNumerically("<=", 2))
 			})
 		})
 	}
@@ -254,7 +254,7 @@
 			var took []time.Duration
 			for version := uint64(2); version < 12; version++ {
 				fleet.store.setConfig(version)
-				took = append(took, fleet.untilAll(fleet.gateways, version).Round(time.Millisecond))
+				took = append(took, fleet.untilVersion(fleet.gateways, version).Round(time.Millisecond))
 				time.Sleep(time.Second)
 			}
 			spent := fleet.store.calls.Load() - calls
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -119,9 +119,9 @@
 }
 
 // untilShare is how long it takes until all of some gateways believe in a share.
-func (f *bigFleet) untilShare(gateways []*gateway, permille int) time.Duration {
+func (f *virtualFleet) untilShare(gateways []*gateway, permille int) time.Duration {
 	began := time.Now()
-	for time.Since(began) < 2*patience {
+	for time.Since(began) < 2*waitLimit {
 		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.permille("shop") != permille }) {
 			break
 		}
@@ -131,7 +131,7 @@
 }
 
 func TestRolloutReachesFleetWithin300ms(t *testing.T) {
-	measureReading(t, fleetSize(106), 1, (*access).rollingOut, func(g *WithT, fleet *bigFleet) {
+	onFleetWithSource(t, fleetSize(106), 1, (*access).rollingOut, func(g *WithT, fleet *virtualFleet) {
 		const calm = 10 // seconds
 		calls := fleet.store.calls.Load()
 		time.Sleep(calm * time.Second)
@@ -150,39 +150,39 @@
 // What happens to the store and to whoever reads it in the moment in which a roll-back is
 // recorded.
 func TestRollbackIsAppliedDespiteFailureAtRecording(t *testing.T) {
-	for name, fail := range map[string]func(fleet *bigFleet) (bound []*gateway){
-		"those that read are killed": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+	for name, fail := range map[string]func(fleet *virtualFleet) (bound []*gateway){
+		"those that read are killed": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.kill()
 			}
 			return without(fleet.gateways, readers)
 		},
-		"those that read are cut off from all": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+		"those that read are cut off from all": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.access.silent.Store(true)
 			}
 			fleet.cutOff(readers, false)
 			return without(fleet.gateways, readers)
 		},
-		"the history is forgotten": func(fleet *bigFleet) []*gateway {
+		"the history is forgotten": func(fleet *virtualFleet) []*gateway {
 			fleet.store.forget()
 			return fleet.gateways
 		},
-		"half is cut off, and both halves reach the store": func(fleet *bigFleet) []*gateway {
-			fleet.cutOff(fleet.share(0.5), false)
+		"half is cut off, and both halves reach the store": func(fleet *virtualFleet) []*gateway {
+			fleet.cutOff(fleet.sample(0.5), false)
 			return fleet.gateways
 		},
-		"a third is turned away, whoever reads among them": func(fleet *bigFleet) []*gateway {
-			for _, gw := range append(thatReadNow(fleet.gateways), fleet.share(0.35)...) {
+		"a third is turned away, whoever reads among them": func(fleet *virtualFleet) []*gateway {
+			for _, gw := range append(readersByLog(fleet.gateways), fleet.sample(0.35)...) {
 				gw.access.down.Store(true)
 			}
 			return fleet.gateways
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			measureReading(t, fleetSize(30), 1, (*access).rollingOut, func(g *WithT, fleet *bigFleet) {
+			onFleetWithSource(t, fleetSize(30), 1, (*access).rollingOut, func(g *WithT, fleet *virtualFleet) {
 				fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRunning, Permille: 300})
 				g.Expect(fleet.untilShare(fleet.gateways, 300)).To(BeNumerically("<", time.Second))
 				fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRolledBack})
--- a/internal/gateway/discovery/signals_test.go
+++ b/internal/gateway/discovery/signals_test.go
@@ -29,7 +29,7 @@
 		if half == 0 && 2*len(left) <= len(gateways) {
 			half = time.Since(began)
 		}
-		if len(left) == 0 || time.Since(began) >= patience {
+		if len(left) == 0 || time.Since(began) >= waitLimit {
 			return half, time.Since(began)
 		}
 		time.Sleep(time.Millisecond)
@@ -42,7 +42,7 @@
 	resting := catalog.Target{ID: "t1", Service: "shop", Born: 1}
 	serving := []catalog.Target{resting, {ID: "t2", Service: "shop", Born: 1}}
 	for _, size := range []int{3, 17, fleetSize(100)} {
-		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
+		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
 			holds := func(gw *gateway) bool { return gw.signals.Avoided(serving)[resting.Life()] }
 			fleet.gateways[0].signals.Observe(resting, signal.Signals{BackOff: 5 * time.Second})
 			time.Sleep(time.Second)
@@ -64,7 +64,7 @@
 // A target says to one gateway alone that it leaves, and its entry does not.
 func TestLeavingTargetReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
-		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
+		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
 			for i := range 300 { // all tell when they started
 				fleet.store.setLife(fmt.Sprint("t", i), 1, "10.0.0.1:80", false)
 			}
@@ -85,7 +85,7 @@
 func TestBackOffOfAllTargetsTakesBoundedTraffic(t *testing.T) {
 	const targets, seconds = 120, 10
 	for _, size := range []int{18, fleetSize(100)} {
-		measure(t, size, 1, func(g *WithT, fleet *bigFleet) {
+		onFleet(t, size, 1, func(g *WithT, fleet *virtualFleet) {
 			random := rand.New(rand.NewPCG(fleet.seed, 7))
 			bytes, writes := fleet.fabric.all.Load(), fleet.fabric.writes.Load()
 			for range 10 * seconds * targets {
--- a/internal/gateway/discovery/updates_test.go
+++ b/internal/gateway/discovery/updates_test.go
@@ -26,7 +26,7 @@
 // untilAllKnow is how long it takes until some gateways know a limit.
 func untilAllKnow(gateways []*gateway, rate float64) time.Duration {
 	began := time.Now()
-	for time.Since(began) < patience && slices.ContainsFunc(gateways, func(g *gateway) bool { return g.limits.TargetRate(inNeed) != rate }) {
+	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return g.limits.TargetRate(inNeed) != rate }) {
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
@@ -36,7 +36,7 @@
 // more is said of it then.
 func TestTargetLimitReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
-		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
+		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
 			rate := func() float64 { // of writes, a second and gateway
 				writes := fleet.fabric.writes.Load()
 				time.Sleep(5 * time.Second)
@@ -68,8 +68,8 @@
 
 // Gateways that were cut off while it was told, or start later, hear of it.
 func TestStartedOrPartitionedGatewayReceivesTargetLimit(t *testing.T) {
-	measure(t, fleetSize(30), 2, func(g *WithT, fleet *bigFleet) {
-		part := fleet.share(0.3)
+	onFleet(t, fleetSize(30), 2, func(g *WithT, fleet *virtualFleet) {
+		part := fleet.sample(0.3)
 		fleet.cutOff(part, false)
 		time.Sleep(time.Second)
 		rest := without(fleet.gateways, part)
--- a/internal/gateway/discovery/wake_test.go
+++ b/internal/gateway/discovery/wake_test.go
@@ -20,7 +20,7 @@
 func TestStateIsConfirmedAgainAfterSuspension(t *testing.T) {
 	for _, slept := range []time.Duration{100 * time.Millisecond, 3 * time.Second, time.Minute} {
 		for _, reads := range []bool{true, false} {
-			measure(t, 12, 2, func(g *WithT, fleet *bigFleet) {
+			onFleet(t, 12, 2, func(g *WithT, fleet *virtualFleet) {
 				i := slices.IndexFunc(fleet.gateways, func(gw *gateway) bool { return gw.ReadsStore() == reads })
 				sleeper := fleet.gateways[i]
 				for range 2 {
@@ -29,7 +29,7 @@
 				}
 				g.Expect(sleeper.ReadsStore()).To(Equal(reads && slept < time.Second), "a watch that began before may be cut")
 				fleet.store.setConfig(2)
-				took := fleet.untilAll(fleet.gateways, 2)
+				took := fleet.untilVersion(fleet.gateways, 2)
 				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter), "reads %v, slept %v", reads, slept)
 				time.Sleep(3 * time.Second)
 				g.Expect(sleeper.Age()).To(BeNumerically("<", fleetTiming.StaleAfter))
