--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -34,12 +34,14 @@
 	})
 }
 
-// following is the source of a gateway that watches evacuations, too.
-func (a *access) following() discovery.Source { return a.followingBy(a.awaitChange) }
+// sourceWithEvacuations is the source of a gateway that watches evacuations, too.
+func (a *access) sourceWithEvacuations() discovery.Source {
+	return a.sourceWithEvacuationWait(a.awaitChange)
+}
 
-// followingByLists is that of one that reads their list again each second.
-func (a *access) followingByLists() discovery.Source {
-	return a.followingBy(func(ctx context.Context, _ uint64, _ time.Duration) error {
+// sourceWithPolledEvacuations is that of one that reads their list again each second.
+func (a *access) sourceWithPolledEvacuations() discovery.Source {
+	return a.sourceWithEvacuationWait(func(ctx context.Context, _ uint64, _ time.Duration) error {
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
@@ -53,8 +55,8 @@
 	})
 }
 
-// followingBy waits for changes by await, which returns with the store's lock held.
-func (a *access) followingBy(await func(ctx context.Context, from uint64, wait time.Duration) error) discovery.Source {
+// sourceWithEvacuationWait waits for changes by await, which returns with the store's lock held.
+func (a *access) sourceWithEvacuationWait(awaitChange func(ctx context.Context, from uint64, wait time.Duration) error) discovery.Source {
 	source := a.source()
 	source.Evacuations = func(ctx context.Context) (discovery.List[catalog.Evacuation], error) {
 		if err := a.call(ctx); err != nil {
@@ -69,7 +71,7 @@
 		return source.Evacuations(ctx)
 	}
 	source.WatchEvacuations = func(ctx context.Context, from uint64, wait time.Duration) (discovery.Changes[catalog.EvacuationChange], error) {
-		if err := await(ctx, from, wait); err != nil {
+		if err := awaitChange(ctx, from, wait); err != nil {
 			return discovery.Changes[catalog.EvacuationChange]{}, err
 		}
 		defer a.store.mu.Unlock()
@@ -113,8 +115,8 @@
 		source func(*access) discovery.Source
 		within time.Duration
 	}{
-		"by a third watch":           {(*access).following, 600 * time.Millisecond},
-		"by a list read each second": {(*access).followingByLists, 2 * time.Second},
+		"by a third watch":           {(*access).sourceWithEvacuations, 600 * time.Millisecond},
+		"by a list read each second": {(*access).sourceWithPolledEvacuations, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onFleetWithSource(t, fleetSize(95), 1, c.source, func(g *WithT, fleet *virtualFleet) {
@@ -196,7 +198,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			onFleetWithSource(t, fleetSize(30), 1, (*access).following, func(g *WithT, fleet *virtualFleet) {
+			onFleetWithSource(t, fleetSize(30), 1, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
 				fleet.store.evacuate("hall-1", true)
 				bound := fail(fleet)
 				took := fleet.untilEvacuated(bound, 1)
@@ -218,13 +220,13 @@
 		s.targets["far"] = catalog.Target{ID: "far", Service: "shop", Hall: "hall-1", Address: "10.0.0.2:80"}
 	})
 	a := &access{store: s}
-	gw := startFollowing(t, "first", a, nil)
+	gw := startWithEvacuations(t, "first", a, nil)
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "far"))
 	s.evacuate("hall-1", true)
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
 	g.Expect(gw.Snapshot().Evacuated("shop")).To(Equal(1))
 	g.Expect(gw.log.String()).To(ContainSubstring(`msg="evacuations changed" halls=[hall-1]`))
-	late := startFollowing(t, "late", &access{store: s}, nil)
+	late := startWithEvacuations(t, "late", &access{store: s}, nil)
 	g.Eventually(late.Ready(), eventual).Should(BeClosed())
 	g.Expect(late.targets()).To(ConsistOf("s1"), "a gateway that starts knows of it from the first request on")
 	s.evacuate("hall-1", false)
@@ -232,25 +234,25 @@
 	g.Expect(gw.Snapshot().Evacuated("shop")).To(BeZero())
 }
 
-// startFollowing starts a gateway that follows evacuations.
-func startFollowing(t *testing.T, id string, a *access, seeds []string) *gateway {
+// startWithEvacuations starts a gateway that follows evacuations.
+func startWithEvacuations(t *testing.T, id string, a *access, seeds []string) *gateway {
 	t.Helper()
 	listener := listen(t)
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-0", Start: uint64(time.Now().UnixNano())}
-	return startWithSource(t, self, listener, a, a.following(), seeds, timing, false)
+	return startWithSource(t, self, listener, a, a.sourceWithEvacuations(), seeds, timing, false)
 }
 
 // Messages of the revision before evacuations were followed, as its gateways send them.
 type (
-	EarlierPosition struct{ Config, ConfigRevision, Targets, Changed uint64 }
-	EarlierDelta    struct {
-		To      EarlierPosition
+	PreEvacuationPosition struct{ Config, ConfigRevision, Targets, Changed uint64 }
+	PreEvacuationDelta    struct {
+		To      PreEvacuationPosition
 		Config  []byte
 		Whole   bool
 		Changes []catalog.Change
 	}
-	EarlierArgs struct {
-		At      EarlierPosition
+	PreEvacuationArgs struct {
+		At      PreEvacuationPosition
 		Wait    time.Duration
 		Age     time.Duration
 		Members []peers.Sighting
@@ -258,11 +260,11 @@
 		From    member.Box
 		Tries   []reader.Try
 	}
-	EarlierReply struct {
+	PreEvacuationReply struct {
 		Age       time.Duration
 		Origin    string
 		Held      time.Duration
-		Delta     EarlierDelta
+		Delta     PreEvacuationDelta
 		Targets   []byte
 		Busy      bool
 		Members   []peers.Sighting
@@ -276,27 +278,27 @@
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.evacuate("hall-1", true)
-	gw := startFollowing(t, "new", &access{store: s}, nil)
+	gw := startWithEvacuations(t, "new", &access{store: s}, nil)
 	g.Eventually(gw.Current, eventual).Should(BeTrue())
 	client, err := rpc.Dial("tcp", gw.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = client.Close() }()
-	var told EarlierReply
-	g.Expect(client.Call("Feed.News", EarlierArgs{}, &told)).To(Succeed())
+	var told PreEvacuationReply
+	g.Expect(client.Call("Feed.News", PreEvacuationArgs{}, &told)).To(Succeed())
 	g.Expect(told.Delta.To.Config).To(Equal(uint64(1)))
 	g.Expect(told.Delta.Whole).To(BeTrue())
 	const wait = 200 * time.Millisecond
 	asked := time.Now()
-	g.Expect(client.Call("Feed.News", EarlierArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries}, &EarlierReply{})).To(Succeed())
+	g.Expect(client.Call("Feed.News", PreEvacuationArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries}, &PreEvacuationReply{})).To(Succeed())
 	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows: its questions wait")
 }
 
-// earlierGateway answers as one of the revision before does, whose knowledge is always
+// preEvacuationGateway answers as one of the revision before does, whose knowledge is always
 // fresh.
-type earlierGateway struct{ self member.Box }
+type preEvacuationGateway struct{ self member.Box }
 
-func (e *earlierGateway) News(args EarlierArgs, reply *EarlierReply) error {
-	reply.Delta.To = EarlierPosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3}
+func (e *preEvacuationGateway) News(args PreEvacuationArgs, reply *PreEvacuationReply) error {
+	reply.Delta.To = PreEvacuationPosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3}
 	reply.Origin = e.self.ID
 	reply.Members = []peers.Sighting{{Box: e.self}}
 	if !args.Digest && args.At.Config < 1 {
@@ -318,14 +320,14 @@
 	g := NewWithT(t)
 	at := listen(t)
 	server := rpc.NewServer()
-	g.Expect(server.RegisterName("Feed", &earlierGateway{self: member.Box{ID: "earlier", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}})).To(Succeed())
+	g.Expect(server.RegisterName("Feed", &preEvacuationGateway{self: member.Box{ID: "earlier", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}})).To(Succeed())
 	t.Cleanup(func() { _ = at.Close() })
 	go func(l net.Listener) { server.Accept(l) }(at)
 	s := newFilledStore()
 	s.evacuate("hall-1", true)
 	a := &access{store: s}
 	a.silent.Store(true)
-	gw := startFollowing(t, "new", a, []string{at.Addr().String()})
+	gw := startWithEvacuations(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
 	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "nobody has told of evacuations")
 	a.silent.Store(false)
@@ -337,7 +339,7 @@
 // nothing: what it said of evacuations once made others take themselves for as far, with
 // no targets.
 func TestFleetRestartDistributesAllTargets(t *testing.T) {
-	onFleetWithSource(t, fleetSize(60), 1, (*access).following, func(g *WithT, fleet *virtualFleet) {
+	onFleetWithSource(t, fleetSize(60), 1, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
 		fleet.store.evacuate("hall-1", true)
 		size := len(fleet.gateways)
 		fleet.stopAll()
@@ -357,7 +359,7 @@
 // A third is turned away by the store and a quarter cut off: whoever reads, the standbys
 // and the two that try after them are among these.
 func TestChangeReachesFleetWhenFirstReadersFail(t *testing.T) {
-	onFleetWithSource(t, fleetSize(60), 4, (*access).following, func(g *WithT, fleet *virtualFleet) {
+	onFleetWithSource(t, fleetSize(60), 4, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
 		struck := readersByLog(fleet.gateways)
 		for _, gw := range struck {
 			gw.access.down.Store(true)
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -69,7 +69,7 @@
 
 // rollingOut is the source of a gateway that watches rollouts as well as evacuations.
 func (a *access) rollingOut() discovery.Source {
-	source := a.following()
+	source := a.sourceWithEvacuations()
 	source.Rollouts = func(ctx context.Context) (discovery.List[catalog.Rollout], error) {
 		if err := a.call(ctx); err != nil {
 			return discovery.List[catalog.Rollout]{}, err
@@ -260,12 +260,12 @@
 
 // gatewayBefore answers as one of the revision before does, whose knowledge is always
 // fresh.
-type gatewayBefore struct{ earlierGateway }
+type gatewayBefore struct{ preEvacuationGateway }
 
 func (b *gatewayBefore) News(args BeforeArgs, reply *BeforeReply) error {
-	var earlier EarlierReply
-	at := EarlierPosition{Config: args.At.Config, ConfigRevision: args.At.ConfigRevision, Targets: args.At.Targets, Changed: args.At.Changed}
-	if err := b.earlierGateway.News(EarlierArgs{At: at, Digest: args.Digest}, &earlier); err != nil {
+	var earlier PreEvacuationReply
+	at := PreEvacuationPosition{Config: args.At.Config, ConfigRevision: args.At.ConfigRevision, Targets: args.At.Targets, Changed: args.At.Changed}
+	if err := b.preEvacuationGateway.News(PreEvacuationArgs{At: at, Digest: args.Digest}, &earlier); err != nil {
 		return err
 	}
 	*reply = BeforeReply{Origin: earlier.Origin, Members: earlier.Members}
@@ -281,7 +281,7 @@
 	g := NewWithT(t)
 	at := listen(t)
 	server := rpc.NewServer()
-	before := &gatewayBefore{earlierGateway{self: member.Box{ID: "before", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}}}
+	before := &gatewayBefore{preEvacuationGateway{self: member.Box{ID: "before", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}}}
 	g.Expect(server.RegisterName("Feed", before)).To(Succeed())
 	t.Cleanup(func() { _ = at.Close() })
 	go func(l net.Listener) { server.Accept(l) }(at)
