--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -50,7 +50,7 @@
 	f.extraServices = func(ctx context.Context, g *gateway, self member.Box) []discovery.Service {
 		began := time.Now()
 		dial := f.fabric.dialFrom(self.Peer)
-		source := g.access.rollingOut()
+		source := g.access.sourceWithRollouts()
 		d := delivery.New(delivery.Options{
 			Self: self, Rollouts: g.Rollouts, Changed: g.Changed, Age: g.Age, Reads: g.ReadsStore,
 			Leaving: func() bool { return false }, Peers: g.Peers, Standing: g.VersionTargets,
@@ -110,7 +110,7 @@
 func carryOut(t *testing.T, size int, f func(g *WithT, fleet *virtualFleet, c *carried)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &carried{}
-		fleet := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), source: (*access).rollingOut}
+		fleet := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), source: (*access).sourceWithRollouts}
 		carriesOut(fleet, c)
 		fleet.startAll(size)
 		defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -23,11 +23,11 @@
 
 // putRollout writes an order, or how far it has come.
 func (s *fakeStore) putRollout(r catalog.Rollout) {
-	s.change(func() { s.putLocked(r) })
+	s.change(func() { s.putRolloutLocked(r) })
 }
 
-// putLocked is putRollout; the lock is held.
-func (s *fakeStore) putLocked(r catalog.Rollout) catalog.Rollout {
+// putRolloutLocked is putRollout; the lock is held.
+func (s *fakeStore) putRolloutLocked(r catalog.Rollout) catalog.Rollout {
 	r.Revision = s.revision
 	s.rollouts[r.Service] = r
 	s.rolloutLog = append(s.rolloutLog, catalog.RolloutChange{Revision: s.revision, Rollout: r})
@@ -52,7 +52,7 @@
 			record.Rollout = &now
 			return
 		}
-		now = s.putLocked(r)
+		now = s.putRolloutLocked(r)
 		record, err = discovery.RecordResult{Outcome: discovery.RecordDone, Rollout: &now}, nil
 	})
 	return record, err
@@ -67,8 +67,8 @@
 	return out
 }
 
-// rollingOut is the source of a gateway that watches rollouts as well as evacuations.
-func (a *access) rollingOut() discovery.Source {
+// sourceWithRollouts is the source of a gateway that watches rollouts as well as evacuations.
+func (a *access) sourceWithRollouts() discovery.Source {
 	source := a.sourceWithEvacuations()
 	source.Rollouts = func(ctx context.Context) (discovery.List[catalog.Rollout], error) {
 		if err := a.call(ctx); err != nil {
@@ -131,7 +131,7 @@
 }
 
 func TestRolloutReachesFleetWithin300ms(t *testing.T) {
-	onFleetWithSource(t, fleetSize(106), 1, (*access).rollingOut, func(g *WithT, fleet *virtualFleet) {
+	onFleetWithSource(t, fleetSize(106), 1, (*access).sourceWithRollouts, func(g *WithT, fleet *virtualFleet) {
 		const calm = 10 // seconds
 		calls := fleet.store.calls.Load()
 		time.Sleep(calm * time.Second)
@@ -182,7 +182,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			onFleetWithSource(t, fleetSize(30), 1, (*access).rollingOut, func(g *WithT, fleet *virtualFleet) {
+			onFleetWithSource(t, fleetSize(30), 1, (*access).sourceWithRollouts, func(g *WithT, fleet *virtualFleet) {
 				fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRunning, Permille: 300})
 				g.Expect(fleet.untilShare(fleet.gateways, 300)).To(BeNumerically("<", time.Second))
 				fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRolledBack})
@@ -197,17 +197,17 @@
 
 // Messages of the revision before rollouts were followed, as its gateways send them.
 type (
-	BeforePosition struct{ Config, ConfigRevision, Targets, Changed, Evacuations, EvacuationsChanged uint64 }
-	BeforeDelta    struct {
-		To             BeforePosition
+	PreRolloutPosition struct{ Config, ConfigRevision, Targets, Changed, Evacuations, EvacuationsChanged uint64 }
+	PreRolloutDelta    struct {
+		To             PreRolloutPosition
 		Config         []byte
 		Whole          bool
 		Changes        []catalog.Change
 		HasEvacuations bool
 		Evacuations    []catalog.Evacuation
 	}
-	BeforeArgs struct {
-		At                 BeforePosition
+	PreRolloutArgs struct {
+		At                 PreRolloutPosition
 		Wait               time.Duration
 		Age                time.Duration
 		Members            []peers.Sighting
@@ -216,11 +216,11 @@
 		Tries              []reader.Try
 		FollowsEvacuations bool
 	}
-	BeforeReply struct {
+	PreRolloutReply struct {
 		Age       time.Duration
 		Origin    string
 		Held      time.Duration
-		Delta     BeforeDelta
+		Delta     PreRolloutDelta
 		Targets   []byte
 		Busy      bool
 		Members   []peers.Sighting
@@ -230,47 +230,47 @@
 	}
 )
 
-// startRollingOut starts a gateway that follows rollouts.
-func startRollingOut(t *testing.T, id string, a *access, seeds []string) *gateway {
+// startWithRollouts starts a gateway that follows rollouts.
+func startWithRollouts(t *testing.T, id string, a *access, seeds []string) *gateway {
 	t.Helper()
 	listener := listen(t)
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-0", Start: uint64(time.Now().UnixNano())}
-	return startWithSource(t, self, listener, a, a.rollingOut(), seeds, timing, false)
+	return startWithSource(t, self, listener, a, a.sourceWithRollouts(), seeds, timing, false)
 }
 
 func TestPeerWithoutRolloutsIsServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.putRollout(catalog.Rollout{Service: "shop", Version: "v2"})
-	gw := startRollingOut(t, "new", &access{store: s}, nil)
+	gw := startWithRollouts(t, "new", &access{store: s}, nil)
 	g.Eventually(gw.Current, eventual).Should(BeTrue())
 	client, err := rpc.Dial("tcp", gw.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = client.Close() }()
-	var told BeforeReply
-	g.Expect(client.Call("Feed.News", BeforeArgs{FollowsEvacuations: true}, &told)).To(Succeed())
+	var told PreRolloutReply
+	g.Expect(client.Call("Feed.News", PreRolloutArgs{FollowsEvacuations: true}, &told)).To(Succeed())
 	g.Expect(told.Delta.To.Config).To(Equal(uint64(1)))
 	g.Expect(told.Delta.Whole).To(BeTrue())
 	const wait = 200 * time.Millisecond
 	asked := time.Now()
-	args := BeforeArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries, FollowsEvacuations: true}
-	g.Expect(client.Call("Feed.News", args, &BeforeReply{})).To(Succeed())
+	args := PreRolloutArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries, FollowsEvacuations: true}
+	g.Expect(client.Call("Feed.News", args, &PreRolloutReply{})).To(Succeed())
 	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows: its questions wait")
 }
 
-// gatewayBefore answers as one of the revision before does, whose knowledge is always
+// preRolloutGateway answers as one of the revision before does, whose knowledge is always
 // fresh.
-type gatewayBefore struct{ preEvacuationGateway }
+type preRolloutGateway struct{ preEvacuationGateway }
 
-func (b *gatewayBefore) News(args BeforeArgs, reply *BeforeReply) error {
+func (b *preRolloutGateway) News(args PreRolloutArgs, reply *PreRolloutReply) error {
 	var earlier PreEvacuationReply
 	at := PreEvacuationPosition{Config: args.At.Config, ConfigRevision: args.At.ConfigRevision, Targets: args.At.Targets, Changed: args.At.Changed}
 	if err := b.preEvacuationGateway.News(PreEvacuationArgs{At: at, Digest: args.Digest}, &earlier); err != nil {
 		return err
 	}
-	*reply = BeforeReply{Origin: earlier.Origin, Members: earlier.Members}
-	reply.Delta = BeforeDelta{
-		To:     BeforePosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3, Evacuations: 3, EvacuationsChanged: 3},
+	*reply = PreRolloutReply{Origin: earlier.Origin, Members: earlier.Members}
+	reply.Delta = PreRolloutDelta{
+		To:     PreRolloutPosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3, Evacuations: 3, EvacuationsChanged: 3},
 		Config: earlier.Delta.Config, Whole: earlier.Delta.Whole, Changes: earlier.Delta.Changes,
 		HasEvacuations: !args.Digest && args.At.Evacuations < 3,
 	}
@@ -281,7 +281,7 @@
 	g := NewWithT(t)
 	at := listen(t)
 	server := rpc.NewServer()
-	before := &gatewayBefore{preEvacuationGateway{self: member.Box{ID: "before", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}}}
+	before := &preRolloutGateway{preEvacuationGateway{self: member.Box{ID: "before", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}}}
 	g.Expect(server.RegisterName("Feed", before)).To(Succeed())
 	t.Cleanup(func() { _ = at.Close() })
 	go func(l net.Listener) { server.Accept(l) }(at)
@@ -289,7 +289,7 @@
 	s.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRunning, Permille: 50})
 	a := &access{store: s}
 	a.silent.Store(true)
-	gw := startRollingOut(t, "new", a, []string{at.Addr().String()})
+	gw := startWithRollouts(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(func() bool { return gw.Snapshot().Table() != nil }, eventual).Should(BeTrue())
 	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "nobody has told of rollouts")
 	a.silent.Store(false)
