--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -18,15 +18,15 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// carried counts what the reports of a fleet take on the network, and what they say.
-type carried struct {
+// reportTraffic counts what the reports of a fleet take on the network, and what they say.
+type reportTraffic struct {
 	bytes   atomic.Int64
 	writes  atomic.Int64
 	failing atomic.Bool // sends to the ordered version fail
 }
 
-// stageFor is how long a stage lasts in these tests.
-const stageFor = 3 * time.Second
+// stageDuration is how long a stage lasts in these tests.
+const stageDuration = 3 * time.Second
 
 // decideByTime goes from stage to stage and rolls back at the fiftieth failure.
 func decideByTime(s rollout.State) rollout.Decision {
@@ -38,15 +38,15 @@
 		return rollout.Decision{Verb: rollout.Advance, Permille: next}
 	case s.Order.Permille == 1000 && len(s.Behind) == 0:
 		return rollout.Decision{Verb: rollout.Complete, Reason: rollout.ReasonMoved}
-	case s.Order.Permille < 1000 && s.StageAge >= stageFor:
+	case s.Order.Permille < 1000 && s.StageAge >= stageDuration:
 		return rollout.Decision{Verb: rollout.Advance, Permille: next}
 	}
 	return rollout.Decision{}
 }
 
-// carriesOut makes the gateways of a fleet carry rollouts out, as if each sent eight
+// addDelivery makes the gateways of a fleet carry rollouts out, as if each sent eight
 // requests a second of four routes.
-func carriesOut(f *virtualFleet, c *carried) {
+func addDelivery(f *virtualFleet, c *reportTraffic) {
 	f.extraServices = func(ctx context.Context, g *gateway, self member.Box) []discovery.Service {
 		began := time.Now()
 		dial := f.fabric.dialFrom(self.Peer)
@@ -58,7 +58,7 @@
 			Reports: func(running []catalog.Rollout) []rollout.Report { return c.reports(running, time.Since(began)) },
 			Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
-				return &countedConn{Conn: conn, carried: c}, err
+				return &countedConn{Conn: conn, traffic: c}, err
 			},
 		})
 		for _, duty := range d.Duties() {
@@ -69,7 +69,7 @@
 }
 
 // reports are those of one gateway that has run for some time.
-func (c *carried) reports(running []catalog.Rollout, ran time.Duration) []rollout.Report {
+func (c *reportTraffic) reports(running []catalog.Rollout, ran time.Duration) []rollout.Report {
 	var out []rollout.Report
 	for _, r := range running {
 		report := rollout.Report{Service: r.Service, Version: r.Version, Permille: r.Permille}
@@ -91,27 +91,27 @@
 // countedConn counts what passes a connection, both ways.
 type countedConn struct {
 	net.Conn
-	carried *carried
+	traffic *reportTraffic
 }
 
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.carried.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(p []byte) (int, error) {
-	c.carried.bytes.Add(int64(len(p)))
-	c.carried.writes.Add(1)
+	c.traffic.bytes.Add(int64(len(p)))
+	c.traffic.writes.Add(1)
 	return c.Conn.Write(p)
 }
 
-// carryOut runs f on a fleet that carries rollouts out.
-func carryOut(t *testing.T, size int, f func(g *WithT, fleet *virtualFleet, c *carried)) {
+// onFleetWithDelivery runs f on a fleet that carries rollouts out.
+func onFleetWithDelivery(t *testing.T, size int, f func(g *WithT, fleet *virtualFleet, c *reportTraffic)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &carried{}
+		c := &reportTraffic{}
 		fleet := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), source: (*access).sourceWithRollouts}
-		carriesOut(fleet, c)
+		addDelivery(fleet, c)
 		fleet.startAll(size)
 		defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
 		defer fleet.stopAll()
@@ -119,8 +119,8 @@
 	})
 }
 
-// rolloutEnds waits until an order has its verdict, and how long that took.
-func (f *virtualFleet) rolloutEnds() (catalog.Rollout, time.Duration) {
+// awaitRolloutEnd waits until an order has its verdict, and how long that took.
+func (f *virtualFleet) awaitRolloutEnd() (catalog.Rollout, time.Duration) {
 	began := time.Now()
 	for time.Since(began) < 30*time.Second && !f.rollout().State.Final() {
 		time.Sleep(time.Millisecond)
@@ -136,10 +136,10 @@
 
 func TestRolloutTrafficIsBounded(t *testing.T) {
 	for _, size := range []int{3, fleetSize(106)} {
-		carryOut(t, size, func(g *WithT, fleet *virtualFleet, c *carried) {
+		onFleetWithDelivery(t, size, func(g *WithT, fleet *virtualFleet, c *reportTraffic) {
 			fleet.store.rolloutCalls.Store(0)
 			fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
-			r, took := fleet.rolloutEnds()
+			r, took := fleet.awaitRolloutEnd()
 			g.Expect(r.State).To(Equal(catalog.RolloutCompleted))
 			time.Sleep(time.Second)
 			calls, seconds, gateways := fleet.store.rolloutCalls.Load(), took.Seconds(), float64(size)
@@ -157,7 +157,7 @@
 }
 
 func TestFailingVersionIsRolledBackAfterDeciderIsKilled(t *testing.T) {
-	carryOut(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *carried) {
+	onFleetWithDelivery(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *reportTraffic) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		g.Expect(fleet.untilShare(fleet.gateways, 130)).To(BeNumerically("<", 5*time.Second))
 		readers := readersByLog(fleet.gateways)
@@ -168,7 +168,7 @@
 		began := time.Now()
 		bound := without(fleet.gateways, readers)
 		took := fleet.untilShare(bound, 0)
-		r, _ := fleet.rolloutEnds()
+		r, _ := fleet.awaitRolloutEnd()
 		t.Logf("rolled back by %s, in force everywhere after %v", r.Decider, time.Since(began))
 		g.Expect(r.State).To(Equal(catalog.RolloutRolledBack))
 		g.Expect(took).To(BeNumerically("<", 3*time.Second))
@@ -177,14 +177,14 @@
 }
 
 func TestPartitionWithDeciderRollsBackOnBothSides(t *testing.T) {
-	carryOut(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *carried) {
+	onFleetWithDelivery(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *reportTraffic) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		fleet.untilShare(fleet.gateways, 130)
 		part := append(fleet.sample(0.5), readersByLog(fleet.gateways)...)
 		fleet.cutOff(part, false)
 		c.failing.Store(true)
 		took := fleet.untilShare(fleet.gateways, 0)
-		r, _ := fleet.rolloutEnds()
+		r, _ := fleet.awaitRolloutEnd()
 		t.Logf("in force on both sides after %v, %d calls", took, fleet.store.rolloutCalls.Load())
 		g.Expect(r.State).To(Equal(catalog.RolloutRolledBack))
 		g.Expect(took).To(BeNumerically("<", 4*time.Second))
