--- a/internal/gateway/discovery/regions_test.go
+++ b/internal/gateway/discovery/regions_test.go
@@ -20,71 +20,71 @@
 // REGIONS and WIDE_MS (the delay between two regions, one way) set them by hand.
 
 const (
-	hallsOfRegion = 2
-	inRegionDelay = 500 * time.Microsecond
-	usualWide     = 20 * time.Millisecond
-	storeRegion   = "region-0"
-	// inForceSlack is how long a change is on its way within regions.
-	inForceSlack = 50 * time.Millisecond
+	hallsOfRegion          = 2
+	otherHallInRegionDelay = 500 * time.Microsecond
+	defaultRegionDelay     = 20 * time.Millisecond
+	storeRegion            = "region-0"
+	// withinRegionsSlack is how long a change is on its way within regions.
+	withinRegionsSlack = 50 * time.Millisecond
 )
 
-func fromEnvironment(name string, usual int) int {
+func intFromEnvironment(name string, usual int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
 	return usual
 }
 
-// widths are the delays between regions to play.
-func widths() []time.Duration {
-	if ms := fromEnvironment("WIDE_MS", 0); ms > 0 {
+// regionDelays are the delays between regions to play.
+func regionDelays() []time.Duration {
+	if ms := intFromEnvironment("WIDE_MS", 0); ms > 0 {
 		return []time.Duration{time.Duration(ms) * time.Millisecond}
 	}
-	return []time.Duration{usualWide, 5 * usualWide, 10 * usualWide}
+	return []time.Duration{defaultRegionDelay, 5 * defaultRegionDelay, 10 * defaultRegionDelay}
 }
 
-// regional is a fleet over regions.
-type regional struct {
+// regionFleet is a fleet over regions.
+type regionFleet struct {
 	*virtualFleet
 	regions int
 }
 
-func newRegional(t *testing.T, size, regions int, seed uint64, wide time.Duration) *regional {
-	f := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: distantSource, halls: regions * hallsOfRegion}
-	f.fabric.farDelay, f.fabric.wideDelay, f.fabric.regions = inRegionDelay, wide, map[string]string{}
+func newRegionFleet(t *testing.T, size, regions int, seed uint64, wide time.Duration) *regionFleet {
+	f := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: sourceWithLatency, halls: regions * hallsOfRegion}
+	f.fabric.farDelay, f.fabric.wideDelay, f.fabric.regions = otherHallInRegionDelay, wide, map[string]string{}
 	for hall := range f.halls {
 		f.fabric.regions["hall-"+strconv.Itoa(hall)] = "region-" + strconv.Itoa(hall%regions)
 	}
 	f.storeLatency = func(hall string) time.Duration {
 		if f.fabric.regions[hall] == storeRegion {
-			return inRegionDelay
+			return otherHallInRegionDelay
 		}
 		return wide
 	}
 	f.locality = func(hall string) *locality.Map { return locality.New(hall, "", f.fabric.regions) }
 	f.startAll(size)
-	return &regional{virtualFleet: f, regions: regions}
+	return &regionFleet{virtualFleet: f, regions: regions}
 }
 
 // in lists the gateways of a region.
-func (f *regional) in(region string) []*gateway {
+func (f *regionFleet) in(region string) []*gateway {
 	return slices.DeleteFunc(slices.Clone(f.gateways), func(g *gateway) bool { return f.regionOf(g) != region })
 }
 
-func (f *regional) regionOf(g *gateway) string {
+func (f *regionFleet) regionOf(g *gateway) string {
 	f.fabric.mu.Lock()
 	defer f.fabric.mu.Unlock()
 	return f.fabric.region(g.Addr().String())
 }
 
-// distantSource is the usual source, whose answers spend a while on their way.
-func distantSource(a *access) discovery.Source {
+// sourceWithLatency is the usual source, whose answers spend a while on their way.
+func sourceWithLatency(a *access) discovery.Source {
 	source := a.source()
-	source.Config = answeredLater(a, source.Config)
-	source.Targets = answeredLater(a, source.Targets)
-	source.StaleRead = answeredLater(a, source.StaleRead)
-	source.WatchConfig = watchedLater(a, source.WatchConfig)
-	source.WatchTargets = watchedLater(a, source.WatchTargets)
+	source.Config = delayedCall(a, source.Config)
+	source.Targets = delayedCall(a, source.Targets)
+	source.StaleRead = delayedCall(a, source.StaleRead)
+	source.WatchConfig = delayedWatch(a, source.WatchConfig)
+	source.WatchTargets = delayedWatch(a, source.WatchTargets)
 	ping := source.Ping
 	source.Ping = func(ctx context.Context) error {
 		defer time.Sleep(a.latency)
@@ -93,25 +93,25 @@
 	return source
 }
 
-func answeredLater[T any](a *access, call func(context.Context) (T, error)) func(context.Context) (T, error) {
+func delayedCall[T any](a *access, call func(context.Context) (T, error)) func(context.Context) (T, error) {
 	return func(ctx context.Context) (T, error) {
 		defer time.Sleep(a.latency)
 		return call(ctx)
 	}
 }
 
-func watchedLater[T any](a *access, call func(context.Context, uint64, time.Duration) (T, error)) func(context.Context, uint64, time.Duration) (T, error) {
+func delayedWatch[T any](a *access, call func(context.Context, uint64, time.Duration) (T, error)) func(context.Context, uint64, time.Duration) (T, error) {
 	return func(ctx context.Context, from uint64, wait time.Duration) (T, error) {
 		defer time.Sleep(a.latency)
 		return call(ctx, from, wait)
 	}
 }
 
-// overRegions runs f on a settled fleet in a bubble of its own.
-func overRegions(t *testing.T, size, regions int, seed uint64, wide time.Duration, f func(g *WithT, fleet *regional)) {
+// onRegionFleet runs f on a settled fleet in a bubble of its own.
+func onRegionFleet(t *testing.T, size, regions int, seed uint64, wide time.Duration, f func(g *WithT, fleet *regionFleet)) {
 	t.Run(fmt.Sprintf("%d gateways, %d regions, seed %d, %v", size, regions, seed, wide), func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			fleet := newRegional(t, size, regions, seed, wide)
+			fleet := newRegionFleet(t, size, regions, seed, wide)
 			defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
 			defer fleet.stopAll()
 			f(NewWithT(t), fleet)
@@ -122,12 +122,12 @@
 // traffic is what has passed between regions.
 type traffic struct{ bytes, writes int64 }
 
-func (f *regional) wide() traffic {
+func (f *regionFleet) regionTraffic() traffic {
 	return traffic{bytes: f.fabric.wide.Load(), writes: f.fabric.wideWrites.Load()}
 }
 
-// oldest is the greatest age of what any gateway knows, over a time.
-func (f *regional) oldest(over time.Duration) (age time.Duration) {
+// maxAge is the greatest age of what any gateway knows, over a time.
+func (f *regionFleet) maxAge(over time.Duration) (age time.Duration) {
 	for began := time.Now(); time.Since(began) < over; time.Sleep(50 * time.Millisecond) {
 		for _, gw := range f.gateways {
 			age = max(age, gw.Age())
@@ -137,7 +137,7 @@
 }
 
 // readingRegions lists the regions of the gateways that read the store.
-func (f *regional) readingRegions() (regions []string) {
+func (f *regionFleet) readingRegions() (regions []string) {
 	for _, gw := range readersByLog(f.gateways) {
 		regions = append(regions, f.regionOf(gw))
 	}
@@ -145,13 +145,13 @@
 }
 
 func TestConfigurationChangeReachesAllRegions(t *testing.T) {
-	size, regions := fleetSize(93), fromEnvironment("REGIONS", 3)
-	for _, wide := range widths() {
-		overRegions(t, size, regions, 0, wide, func(g *WithT, fleet *regional) {
+	size, regions := fleetSize(93), intFromEnvironment("REGIONS", 3)
+	for _, wide := range regionDelays() {
+		onRegionFleet(t, size, regions, 0, wide, func(g *WithT, fleet *regionFleet) {
 			const calm = 20 // seconds
-			before, calls := fleet.wide(), fleet.store.calls.Load()
-			oldest := fleet.oldest(calm * time.Second)
-			after := fleet.wide()
+			before, calls := fleet.regionTraffic(), fleet.store.calls.Load()
+			oldest := fleet.maxAge(calm * time.Second)
+			after := fleet.regionTraffic()
 			spent := fleet.store.calls.Load() - calls
 			var took []time.Duration
 			for version := uint64(2); version < 8; version++ {
@@ -159,7 +159,7 @@
 				took = append(took, fleet.untilVersion(fleet.gateways, version).Round(time.Millisecond))
 				time.Sleep(time.Second)
 			}
-			g.Expect(slices.Max(took)).To(BeNumerically("<=", 5*wide+inForceSlack))
+			g.Expect(slices.Max(took)).To(BeNumerically("<=", 5*wide+withinRegionsSlack))
 			g.Expect(oldest).To(BeNumerically("<", fleetTiming.MustReadAfter))
 			g.Expect(spent).To(BeNumerically("<", 140), "one reads, and pings three times a second")
 			fleet.t.Logf("FIGURES size %d regions %d wide %v: start %d kB; calm: %d calls, oldest %v, %.1f kB/s, %.0f writes/s between regions; took up %d, reads in %v; in force after %v",
@@ -171,7 +171,7 @@
 
 // cutRegions cuts the ways between some regions and all others; oneWay leaves those out
 // of them open.
-func (f *regional) cutRegions(regions []string, oneWay bool) {
+func (f *regionFleet) cutRegions(regions []string, oneWay bool) {
 	inside := map[string]bool{}
 	for _, gw := range f.gateways {
 		inside[gw.Addr().String()] = slices.Contains(regions, f.regionOf(gw))
@@ -196,7 +196,7 @@
 		"where the others don't reach it": {false, true, storeRegion},
 	} {
 		t.Run(name, func(t *testing.T) {
-			overRegions(t, fleetSize(48), 3, 1, usualWide, func(g *WithT, fleet *regional) {
+			onRegionFleet(t, fleetSize(48), 3, 1, defaultRegionDelay, func(g *WithT, fleet *regionFleet) {
 				part := fleet.in(c.region)
 				rest := without(fleet.gateways, part)
 				before, calls := readingStarts(fleet.gateways), fleet.store.calls.Load()
@@ -213,13 +213,13 @@
 					reached = without(fleet.gateways, dark)
 				}
 				time.Sleep(4 * time.Second)
-				sent := fleet.wide()
+				sent := fleet.regionTraffic()
 				fleet.store.setConfig(2)
 				took := fleet.untilVersion(reached, 2)
 				time.Sleep(3*time.Second - took)
 				spent := fleet.store.calls.Load() - calls
 				fleet.t.Logf("%d took up the reading, %d calls in 7 s; known after %v where the store is reached; %d bytes between regions in 3 s",
-					readingStarts(fleet.gateways)-before, spent, took, fleet.wide().bytes-sent.bytes)
+					readingStarts(fleet.gateways)-before, spent, took, fleet.regionTraffic().bytes-sent.bytes)
 				g.Expect(took).To(BeNumerically("<", 500*time.Millisecond))
 				g.Expect(spent).To(BeNumerically("<", 150))
 				for _, gw := range fleet.gateways {
@@ -242,7 +242,7 @@
 
 func TestRegionWithPacketLossReceivesChanges(t *testing.T) {
 	for _, share := range []float64{0.03, 0.1} {
-		overRegions(t, fleetSize(48), 3, 1, usualWide, func(g *WithT, fleet *regional) {
+		onRegionFleet(t, fleetSize(48), 3, 1, defaultRegionDelay, func(g *WithT, fleet *regionFleet) {
 			const poor = "region-1"
 			fleet.fabric.setLoss(func(from, to string) float64 {
 				if from == poor || to == poor {
@@ -268,11 +268,11 @@
 }
 
 func TestRestartOfRegionalFleetBoundsTraffic(t *testing.T) {
-	overRegions(t, fleetSize(93), fromEnvironment("REGIONS", 3), 1, usualWide, func(g *WithT, fleet *regional) {
+	onRegionFleet(t, fleetSize(93), intFromEnvironment("REGIONS", 3), 1, defaultRegionDelay, func(g *WithT, fleet *regionFleet) {
 		size := len(fleet.gateways)
 		fleet.stopAll()
 		time.Sleep(time.Second)
-		before, calls := fleet.wide(), fleet.store.calls.Load()
+		before, calls := fleet.regionTraffic(), fleet.store.calls.Load()
 		began := time.Now()
 		for i := range size {
 			fleet.gateways[i] = fleet.start(i, false)
@@ -281,7 +281,7 @@
 		var ready time.Duration
 		for time.Since(began) < 4*time.Second {
 			time.Sleep(50 * time.Millisecond)
-			now := fleet.wide().bytes
+			now := fleet.regionTraffic().bytes
 			most, last = max(most, now-last), now
 			if ready == 0 && !slices.ContainsFunc(fleet.gateways, isNotReady) {
 				ready = time.Since(began)
