--- a/internal/gateway/discovery/fabric_test.go
+++ b/internal/gateway/discovery/fabric_test.go
@@ -12,15 +12,15 @@
 
 // Delays of the fabric, one way.
 const (
-	nearDelay = 100 * time.Microsecond
-	farDelay  = 1400 * time.Microsecond
+	sameHallDelay  = 100 * time.Microsecond
+	otherHallDelay = 1400 * time.Microsecond
 )
 
 // What a lost packet costs: it is sent again after a while, the first of a connection
 // after a longer one (the defaults of Linux).
 const (
-	sentAgainAfter   = 200 * time.Millisecond
-	dialedAgainAfter = time.Second
+	retransmitAfter = 200 * time.Millisecond
+	redialAfter     = time.Second
 )
 
 var errRefused = errors.New("connection refused")
@@ -34,29 +34,29 @@
 	// cut says whether bytes pass from one address to another.
 	cut     func(from, to string) bool
 	changed chan struct{} // closed and renewed when cut changes
-	// farDelay is the delay between two halls; regions holds the region of each hall, if there
+	// otherHallDelay is the delay between two halls; regions holds the region of each hall, if there
 	// are any, and wideDelay the delay between two of them.
-	farDelay  time.Duration
-	regions   map[string]string
-	wideDelay time.Duration
+	otherHallDelay   time.Duration
+	regions          map[string]string
+	otherRegionDelay time.Duration
 	// loss is the share of packets that a way between two regions loses, by these.
-	loss  func(from, to string) float64
-	draws *rand.Rand
+	loss   func(from, to string) float64
+	random *rand.Rand
 	// all and far count the bytes that were sent, everywhere and between halls, and
 	// writes in how many pieces.
-	all    atomic.Int64
-	far    atomic.Int64
-	writes atomic.Int64
-	// wide and wideWrites count the same between regions.
-	wide       atomic.Int64
-	wideWrites atomic.Int64
+	all          atomic.Int64
+	betweenHalls atomic.Int64
+	writes       atomic.Int64
+	// betweenRegions and wideWrites count the same between regions.
+	betweenRegions       atomic.Int64
+	writesBetweenRegions atomic.Int64
 }
 
 func newFabric() *fabric {
 	return &fabric{
 		listeners: map[string]*fabricListener{}, halls: map[string]string{},
 		cut: func(string, string) bool { return false }, changed: make(chan struct{}),
-		farDelay: farDelay, loss: func(string, string) float64 { return 0 }, draws: rand.New(rand.NewPCG(1, 1)),
+		otherHallDelay: otherHallDelay, loss: func(string, string) float64 { return 0 }, random: rand.New(rand.NewPCG(1, 1)),
 	}
 }
 
@@ -81,26 +81,26 @@
 	defer f.mu.Unlock()
 	switch {
 	case f.halls[from] == f.halls[to]:
-		return nearDelay
+		return sameHallDelay
 	case f.region(from) == f.region(to):
-		return f.farDelay
+		return f.otherHallDelay
 	default:
-		return f.wideDelay
+		return f.otherRegionDelay
 	}
 }
 
 // region is where an address is; the lock is held.
 func (f *fabric) region(address string) string { return f.regions[f.halls[address]] }
 
-// isWide says whether a way leads from one region to another.
-func (f *fabric) isWide(from, to string) bool {
+// isBetweenRegions says whether a way leads from one region to another.
+func (f *fabric) isBetweenRegions(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.region(from) != f.region(to)
 }
 
-// isFar says whether a way leads from one hall to another.
-func (f *fabric) isFar(from, to string) bool {
+// isBetweenHalls says whether a way leads from one hall to another.
+func (f *fabric) isBetweenHalls(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.halls[from] != f.halls[to]
@@ -113,12 +113,12 @@
 	f.loss = loss
 }
 
-// late is how much later a packet comes for those that are lost before it.
-func (f *fabric) late(from, to string, again time.Duration) (late time.Duration) {
+// lossDelay is how much later a packet comes for those that are lost before it.
+func (f *fabric) lossDelay(from, to string, again time.Duration) (late time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	share := f.loss(f.region(from), f.region(to))
-	for ; share > 0 && f.draws.Float64() < share; again *= 2 {
+	for ; share > 0 && f.random.Float64() < share; again *= 2 {
 		late += again
 	}
 	return late
@@ -142,7 +142,7 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		if !waited(ctx, 2*f.delay(from, to)+f.late(from, to, dialedAgainAfter)+f.late(to, from, dialedAgainAfter)) {
+		if !waitFor(ctx, 2*f.delay(from, to)+f.lossDelay(from, to, redialAfter)+f.lossDelay(to, from, redialAfter)) {
 			return nil, ctx.Err()
 		}
 		f.mu.Lock()
@@ -151,7 +151,7 @@
 		if l == nil {
 			return nil, errRefused
 		}
-		near, far := newHalf(f, to, from), newHalf(f, from, to)
+		near, far := newHalfConn(f, to, from), newHalfConn(f, from, to)
 		select {
 		case l.conns <- &fabricConn{in: far, out: near, at: to}:
 			return &fabricConn{in: near, out: far, at: from}, nil
@@ -163,8 +163,8 @@
 	}
 }
 
-// waited waits for a time; it is false if the context ended before.
-func waited(ctx context.Context, d time.Duration) bool {
+// waitFor waits for a time; it is false if the context ended before.
+func waitFor(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -211,17 +211,17 @@
 func (a fabricAddr) Network() string { return "fabric" }
 func (a fabricAddr) String() string  { return string(a) }
 
-// half is one way of a connection.
-type half struct {
-	fabric   *fabric
-	from, to string
-	delay    time.Duration
-	far      bool // between two halls
-	wide     bool // between two regions
-	mu       sync.Mutex
-	chunks   []chunk
-	closed   bool
-	woken    chan struct{}
+// halfConn is one way of a connection.
+type halfConn struct {
+	fabric         *fabric
+	from, to       string
+	delay          time.Duration
+	betweenHalls   bool // between two halls
+	betweenRegions bool // between two regions
+	mu             sync.Mutex
+	chunks         []chunk
+	closed         bool
+	woken          chan struct{}
 }
 
 type chunk struct {
@@ -229,26 +229,26 @@
 	data []byte
 }
 
-func newHalf(f *fabric, from, to string) *half {
-	return &half{
-		fabric: f, from: from, to: to, delay: f.delay(from, to), far: f.isFar(from, to), wide: f.isWide(from, to),
+func newHalfConn(f *fabric, from, to string) *halfConn {
+	return &halfConn{
+		fabric: f, from: from, to: to, delay: f.delay(from, to), betweenHalls: f.isBetweenHalls(from, to), betweenRegions: f.isBetweenRegions(from, to),
 		woken: make(chan struct{}),
 	}
 }
 
-func (h *half) wake() {
+func (h *halfConn) wake() {
 	close(h.woken)
 	h.woken = make(chan struct{})
 }
 
-func (h *half) close() {
+func (h *halfConn) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
 	h.wake()
 }
 
-func (h *half) write(p []byte) (int, error) {
+func (h *halfConn) write(p []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
@@ -256,21 +256,21 @@
 	}
 	h.fabric.all.Add(int64(len(p)))
 	h.fabric.writes.Add(1)
-	if h.far {
-		h.fabric.far.Add(int64(len(p)))
+	if h.betweenHalls {
+		h.fabric.betweenHalls.Add(int64(len(p)))
 	}
 	late := time.Duration(0)
-	if h.wide {
-		h.fabric.wide.Add(int64(len(p)))
-		h.fabric.wideWrites.Add(1)
-		late = h.fabric.late(h.from, h.to, sentAgainAfter)
+	if h.betweenRegions {
+		h.fabric.betweenRegions.Add(int64(len(p)))
+		h.fabric.writesBetweenRegions.Add(1)
+		late = h.fabric.lossDelay(h.from, h.to, retransmitAfter)
 	}
 	h.chunks = append(h.chunks, chunk{due: time.Now().Add(h.delay + late), data: append([]byte(nil), p...)})
 	h.wake()
 	return len(p), nil
 }
 
-func (h *half) read(p []byte) (int, error) {
+func (h *halfConn) read(p []byte) (int, error) {
 	for {
 		cut, changed := h.fabric.isCut(h.from, h.to)
 		n, wait, woken, err := h.take(p, cut)
@@ -288,7 +288,7 @@
 }
 
 // take takes what is due, or tells how long there is nothing.
-func (h *half) take(p []byte, cut bool) (n int, wait time.Duration, woken chan struct{}, err error) {
+func (h *halfConn) take(p []byte, cut bool) (n int, wait time.Duration, woken chan struct{}, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	wait, woken = time.Hour, h.woken
@@ -314,7 +314,7 @@
 
 // fabricConn is one end of a connection.
 type fabricConn struct {
-	in, out *half
+	in, out *halfConn
 	at      string
 }
 
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -241,14 +241,14 @@
 func TestTrafficBetweenHallsIsBounded(t *testing.T) {
 	onFleet(t, fleetSize(100), 1, func(g *WithT, fleet *virtualFleet) {
 		size := float64(len(fleet.gateways))
-		fleet.t.Logf("%.0f bytes between halls a gateway while the fleet starts", float64(fleet.fabric.far.Load())/size)
-		all, far, writes := fleet.fabric.all.Load(), fleet.fabric.far.Load(), fleet.fabric.writes.Load()
+		fleet.t.Logf("%.0f bytes between halls a gateway while the fleet starts", float64(fleet.fabric.betweenHalls.Load())/size)
+		all, far, writes := fleet.fabric.all.Load(), fleet.fabric.betweenHalls.Load(), fleet.fabric.writes.Load()
 		const calm = 20 // seconds
 		time.Sleep(calm * time.Second)
 		rate := func(now, before int64) float64 { return float64(now-before) / calm / size }
 		fleet.t.Logf("a second and gateway: %.1f writes, %.0f bytes, %.0f between halls",
-			rate(fleet.fabric.writes.Load(), writes), rate(fleet.fabric.all.Load(), all), rate(fleet.fabric.far.Load(), far))
-		g.Expect(rate(fleet.fabric.far.Load(), far)).To(BeNumerically("<", 400))
+			rate(fleet.fabric.writes.Load(), writes), rate(fleet.fabric.all.Load(), all), rate(fleet.fabric.betweenHalls.Load(), far))
+		g.Expect(rate(fleet.fabric.betweenHalls.Load(), far)).To(BeNumerically("<", 400))
 		g.Expect(rate(fleet.fabric.all.Load(), all)).To(BeNumerically("<", 8000), "however large the fleet is")
 	})
 }
--- a/internal/gateway/discovery/regions_test.go
+++ b/internal/gateway/discovery/regions_test.go
@@ -51,7 +51,7 @@
 
 func newRegionFleet(t *testing.T, size, regions int, seed uint64, wide time.Duration) *regionFleet {
 	f := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: sourceWithLatency, halls: regions * hallsOfRegion}
-	f.fabric.farDelay, f.fabric.wideDelay, f.fabric.regions = otherHallInRegionDelay, wide, map[string]string{}
+	f.fabric.otherHallDelay, f.fabric.otherRegionDelay, f.fabric.regions = otherHallInRegionDelay, wide, map[string]string{}
 	for hall := range f.halls {
 		f.fabric.regions["hall-"+strconv.Itoa(hall)] = "region-" + strconv.Itoa(hall%regions)
 	}
@@ -123,7 +123,7 @@
 type traffic struct{ bytes, writes int64 }
 
 func (f *regionFleet) regionTraffic() traffic {
-	return traffic{bytes: f.fabric.wide.Load(), writes: f.fabric.wideWrites.Load()}
+	return traffic{bytes: f.fabric.betweenRegions.Load(), writes: f.fabric.writesBetweenRegions.Load()}
 }
 
 // maxAge is the greatest age of what any gateway knows, over a time.
