--- a/internal/gateway/discovery/fatal_test.go
+++ b/internal/gateway/discovery/fatal_test.go
@@ -15,16 +15,16 @@
 // fatalRequest is one under which targets end.
 var fatalRequest = quarantine.Request{Print: fingerprint.Fingerprint{Content: "fatal", Caller: "caller"}, Service: "shop"}
 
-// refuses says whether a gateway has the fatal request quarantined.
-func (g *gateway) refuses() bool {
+// hasQuarantined says whether a gateway has the fatal request quarantined.
+func (g *gateway) hasQuarantined() bool {
 	print := func() fingerprint.Fingerprint { return fatalRequest.Print }
 	return g.fatal.Verdict(print).IsQuarantined()
 }
 
-// untilAllRefuse is how long it takes until some gateways have the request quarantined.
-func untilAllRefuse(gateways []*gateway) time.Duration {
+// untilQuarantined is how long it takes until some gateways have the request quarantined.
+func untilQuarantined(gateways []*gateway) time.Duration {
 	began := time.Now()
-	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return !g.refuses() }) {
+	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return !g.hasQuarantined() }) {
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
@@ -54,9 +54,9 @@
 			before := rate()
 			endTargets(fleet.gateways, 2)
 			time.Sleep(time.Second)
-			g.Expect(slices.ContainsFunc(fleet.gateways, (*gateway).refuses)).To(BeFalse())
+			g.Expect(slices.ContainsFunc(fleet.gateways, (*gateway).hasQuarantined)).To(BeFalse())
 			fleet.gateways[size-1].fatal.NoteEnd(fatalRequest, "t2", 0)
-			took := untilAllRefuse(fleet.gateways)
+			took := untilQuarantined(fleet.gateways)
 			fleet.t.Logf("refused everywhere after %v", took)
 			g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 
@@ -73,17 +73,17 @@
 		fleet.cutOff(part, false)
 		time.Sleep(time.Second)
 		endTargets(without(fleet.gateways, part), 3)
-		g.Expect(untilAllRefuse(without(fleet.gateways, part))).To(BeNumerically("<", time.Second))
-		g.Expect(slices.ContainsFunc(part, (*gateway).refuses)).To(BeFalse())
+		g.Expect(untilQuarantined(without(fleet.gateways, part))).To(BeNumerically("<", time.Second))
+		g.Expect(slices.ContainsFunc(part, (*gateway).hasQuarantined)).To(BeFalse())
 		fleet.fabric.setCut(func(string, string) bool { return false })
-		took := untilAllRefuse(part)
+		took := untilQuarantined(part)
 		fleet.t.Logf("after the cut: %v", took)
 		g.Expect(took).To(BeNumerically("<", 3*time.Second))
 
 		fleet.gateways[0].kill()
 		time.Sleep(100 * time.Millisecond)
 		fleet.gateways[0] = fleet.start(0, false)
-		took = untilAllRefuse(fleet.gateways[:1])
+		took = untilQuarantined(fleet.gateways[:1])
 		fleet.t.Logf("after a start: %v", took)
 		g.Expect(took).To(BeNumerically("<", time.Second))
 	})
@@ -107,6 +107,6 @@
 		fleet.t.Logf("%.0f bytes a gateway in 5 s", told)
 		g.Expect(told).To(BeNumerically("<", 1<<20))
 		endTargets(fleet.gateways, 3)
-		g.Expect(untilAllRefuse(fleet.gateways)).To(BeNumerically("<", 200*time.Millisecond))
+		g.Expect(untilQuarantined(fleet.gateways)).To(BeNumerically("<", 200*time.Millisecond))
 	})
 }
