--- a/internal/gateway/discovery/updates_test.go
+++ b/internal/gateway/discovery/updates_test.go
@@ -13,8 +13,8 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/quota"
 )
 
-// inNeed is a target that names a limit.
-var inNeed = catalog.Life{ID: "target-1", Born: 1}
+// limitedTarget is a target that names a limit.
+var limitedTarget = catalog.Life{ID: "target-1", Born: 1}
 
 // newLimits makes the limits of targets as a gateway knows them that asks nobody for credit.
 func newLimits() *quota.Register {
@@ -23,10 +23,10 @@
 	})
 }
 
-// untilAllKnow is how long it takes until some gateways know a limit.
-func untilAllKnow(gateways []*gateway, rate float64) time.Duration {
+// untilLimitKnown is how long it takes until some gateways know a limit.
+func untilLimitKnown(gateways []*gateway, rate float64) time.Duration {
 	began := time.Now()
-	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return g.limits.TargetRate(inNeed) != rate }) {
+	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return g.limits.TargetRate(limitedTarget) != rate }) {
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
@@ -45,12 +45,12 @@
 			before := rate()
 			for i, told := range []string{"3", "1.5", ""} {
 				want := []float64{3, 1.5, 0}[i]
-				fleet.gateways[i].limits.NoteLimit(inNeed, corequota.ViaProbe, nonEmpty(told))
-				took := untilAllKnow(fleet.gateways, want)
+				fleet.gateways[i].limits.NoteLimit(limitedTarget, corequota.ViaProbe, nonEmpty(told))
+				took := untilLimitKnown(fleet.gateways, want)
 				fleet.t.Logf("%d gateways, limit %q: known everywhere after %v", size, told, took)
 				g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 				time.Sleep(time.Second)
-				fleet.gateways[2].limits.NoteLimit(inNeed, corequota.ViaProbe, nonEmpty(told)) // so that its probes are known to tell limits
+				fleet.gateways[2].limits.NoteLimit(limitedTarget, corequota.ViaProbe, nonEmpty(told)) // so that its probes are known to tell limits
 			}
 			after := rate()
 			fleet.t.Logf("%.0f writes a second and gateway, %.0f before", after, before)
@@ -73,17 +73,17 @@
 		fleet.cutOff(part, false)
 		time.Sleep(time.Second)
 		rest := without(fleet.gateways, part)
-		rest[0].limits.NoteLimit(inNeed, corequota.ViaProbe, []string{"3"})
-		g.Expect(untilAllKnow(rest, 3)).To(BeNumerically("<", time.Second))
+		rest[0].limits.NoteLimit(limitedTarget, corequota.ViaProbe, []string{"3"})
+		g.Expect(untilLimitKnown(rest, 3)).To(BeNumerically("<", time.Second))
 		fleet.fabric.setCut(func(string, string) bool { return false })
-		took := untilAllKnow(part, 3)
+		took := untilLimitKnown(part, 3)
 		fleet.t.Logf("after the cut: %v", took)
 		g.Expect(took).To(BeNumerically("<", 3*time.Second))
 
 		fleet.gateways[0].kill()
 		time.Sleep(100 * time.Millisecond)
 		fleet.gateways[0] = fleet.start(0, false)
-		took = untilAllKnow(fleet.gateways[:1], 3)
+		took = untilLimitKnown(fleet.gateways[:1], 3)
 		fleet.t.Logf("after a start: %v", took)
 		g.Expect(took).To(BeNumerically("<", time.Second))
 	})
