--- a/internal/gateway/discovery/region_test.go
+++ b/internal/gateway/discovery/region_test.go
@@ -12,8 +12,8 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// inNorth is a gateway that knows version 1 and one target.
-func inNorth(t *testing.T) *Follower {
+// newRegionFollower is a gateway that knows version 1 and one target.
+func newRegionFollower(t *testing.T) *Follower {
 	t.Helper()
 	places := locality.New("a", "", map[string]string{"a": "north", "b": "north", "c": "south"})
 	f := New(Options{
@@ -30,23 +30,23 @@
 	return f
 }
 
-func madeOf(revision uint64, id string) []catalog.Change {
+func targetAdded(revision uint64, id string) []catalog.Change {
 	return []catalog.Change{{Revision: revision, Target: catalog.Target{ID: id, Service: "shop"}}}
 }
 
 func TestPushedUpdateWithMissingBaseIsFetchedInstead(t *testing.T) {
 	g := NewWithT(t)
-	f, before := inNorth(t), inNorth(t).position()
-	other := inNorth(t)
-	tell := func(revision uint64, id string, base catalog.Position) UpdateArgs {
+	f, before := newRegionFollower(t), newRegionFollower(t).position()
+	other := newRegionFollower(t)
+	push := func(revision uint64, id string, base catalog.Position) UpdateArgs {
 		other.apply("test", func(c *catalog.Catalog) catalog.Changed {
-			return catalog.Changed{Targets: c.Advance(revision, madeOf(revision, id))}
+			return catalog.Changed{Targets: c.Advance(revision, targetAdded(revision, id))}
 		})
 		n := &neighbour{peer: member.Box{ID: "far", Hall: "c"}, position: base}
 		return UpdateArgs{At: other.position(), News: other.deltaFor(n), Base: base, From: n.peer}
 	}
-	first := tell(5, "t2", before)
-	second := tell(6, "t3", first.At)
+	first := push(5, "t2", before)
+	second := push(6, "t3", first.At)
 	g.Expect(f.answer(second, &UpdateReply{})).To(Succeed())
 	g.Expect(f.position()).To(Equal(before), "what lies between is missing")
 	g.Expect(f.otherRegionOffers).To(HaveLen(1), "so it is asked for")
@@ -61,7 +61,7 @@
 
 func TestUpdatesArePushedToOtherRegionsOnly(t *testing.T) {
 	g := NewWithT(t)
-	f := inNorth(t)
+	f := newRegionFollower(t)
 	behind := f.position()
 	f.apply("test", func(c *catalog.Catalog) catalog.Changed {
 		return catalog.Changed{Config: c.SetConfig(2, []byte("two"))}
@@ -79,7 +79,7 @@
 
 func TestTimeoutsAreLongerForOtherRegions(t *testing.T) {
 	g := NewWithT(t)
-	f := inNorth(t)
+	f := newRegionFollower(t)
 	g.Expect(f.answerSlack(member.Box{Hall: "b"})).To(Equal(300 * time.Millisecond))
 	g.Expect(f.answerSlack(member.Box{Hall: "c"})).To(Equal(700 * time.Millisecond))
 	g.Expect(f.dialSlack(member.Box{Hall: "b"})).To(Equal(100 * time.Millisecond))
