--- a/internal/gateway/discovery/lives_test.go
+++ b/internal/gateway/discovery/lives_test.go
@@ -10,8 +10,8 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// setLife writes a target's entry as one of its lives does.
-func (s *fakeStore) setLife(id string, born int64, address string, leaving bool) {
+// setIncarnation writes a target's entry as one of its lives does.
+func (s *fakeStore) setIncarnation(id string, born int64, address string, leaving bool) {
 	s.change(func() {
 		target := catalog.Target{ID: id, Service: "shop", Address: address, Born: born, Leaving: leaving}
 		s.targets[id] = target
@@ -19,9 +19,9 @@
 	})
 }
 
-// believes says whether a gateway sends requests to a target at an address, and to no other
+// routesTo says whether a gateway sends requests to a target at an address, and to no other
 // of its id.
-func (g *gateway) believes(id, address string) bool {
+func (g *gateway) routesTo(id, address string) bool {
 	var found []string
 	for _, t := range g.Snapshot().Targets("shop") {
 		if t.ID == id {
@@ -37,28 +37,28 @@
 	onFleet(t, 12, 2, func(g *WithT, fleet *virtualFleet) {
 		store := fleet.store
 		for i := range 300 {
-			store.setLife(fmt.Sprint("t", i), 1, "10.0.0.1:80", false)
+			store.setIncarnation(fmt.Sprint("t", i), 1, "10.0.0.1:80", false)
 		}
 		expect := func(want bool, address string) {
 			t.Helper()
 			time.Sleep(2 * time.Second)
 			for _, gw := range fleet.gateways {
-				g.Expect(gw.believes("t1", address)).To(Equal(want), "%s: %s", gw.Addr(), address)
+				g.Expect(gw.routesTo("t1", address)).To(Equal(want), "%s: %s", gw.Addr(), address)
 			}
 		}
 		expect(true, "10.0.0.1:80")
-		store.setLife("t1", 1, "10.0.0.1:80", true)
+		store.setIncarnation("t1", 1, "10.0.0.1:80", true)
 		expect(false, "10.0.0.1:80")
 		for born := int64(2); born < 5; born++ {
-			store.setLife("t1", born, fmt.Sprintf("10.0.0.%d:80", born), false)
+			store.setIncarnation("t1", born, fmt.Sprintf("10.0.0.%d:80", born), false)
 			time.Sleep(300 * time.Millisecond)
 		}
-		store.setLife("t1", 2, "10.0.0.2:80", true) // late
+		store.setIncarnation("t1", 2, "10.0.0.2:80", true) // late
 		expect(true, "10.0.0.4:80")
-		store.setLife("t1", 0, "10.0.0.9:80", false)
+		store.setIncarnation("t1", 0, "10.0.0.9:80", false)
 		expect(false, "10.0.0.4:80")
 		expect(false, "10.0.0.9:80")
-		store.setLife("t1", 4, "10.0.0.4:80", false)
+		store.setIncarnation("t1", 4, "10.0.0.4:80", false)
 		expect(true, "10.0.0.4:80")
 	})
 }
@@ -68,19 +68,19 @@
 func TestLeavingTargetIsRemovedUntilItRestarts(t *testing.T) {
 	g := NewWithT(t)
 	store := newFilledStore()
-	store.setLife("t1", 1, "10.0.0.1:80", false)
+	store.setIncarnation("t1", 1, "10.0.0.1:80", false)
 	gw := fleet(t, store, 1)[0]
-	g.Eventually(func() bool { return gw.believes("t1", "10.0.0.1:80") }, eventual).Should(BeTrue())
+	g.Eventually(func() bool { return gw.routesTo("t1", "10.0.0.1:80") }, eventual).Should(BeTrue())
 	leaving := catalog.Target{ID: "t1", Service: "shop", Born: 1}
 	gw.Drain([]catalog.Life{leaving.Life()})
 	g.Expect(gw.targets()).NotTo(ContainElement("t1"))
 	g.Expect(gw.Snapshot().IsLeaving(leaving.Life())).To(BeTrue())
 
-	store.setLife("t1", 1, "10.0.0.2:80", false)
-	store.setLife("t2", 1, "10.0.0.3:80", false)
-	g.Eventually(func() bool { return gw.believes("t2", "10.0.0.3:80") }, eventual).Should(BeTrue())
+	store.setIncarnation("t1", 1, "10.0.0.2:80", false)
+	store.setIncarnation("t2", 1, "10.0.0.3:80", false)
+	g.Eventually(func() bool { return gw.routesTo("t2", "10.0.0.3:80") }, eventual).Should(BeTrue())
 	g.Expect(gw.targets()).NotTo(ContainElement("t1"))
 
-	store.setLife("t1", 2, "10.0.0.4:80", false)
-	g.Eventually(func() bool { return gw.believes("t1", "10.0.0.4:80") }, eventual).Should(BeTrue())
+	store.setIncarnation("t1", 2, "10.0.0.4:80", false)
+	g.Eventually(func() bool { return gw.routesTo("t1", "10.0.0.4:80") }, eventual).Should(BeTrue())
 }
--- a/internal/gateway/discovery/signals_test.go
+++ b/internal/gateway/discovery/signals_test.go
@@ -66,17 +66,17 @@
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
 			for i := range 300 { // all tell when they started
-				fleet.store.setLife(fmt.Sprint("t", i), 1, "10.0.0.1:80", false)
+				fleet.store.setIncarnation(fmt.Sprint("t", i), 1, "10.0.0.1:80", false)
 			}
 			time.Sleep(2 * time.Second)
-			g.Expect(untilAll(fleet.gateways, func(gw *gateway) bool { return gw.believes("t1", "10.0.0.1:80") })).To(BeNumerically("<", 2*time.Second))
+			g.Expect(untilAll(fleet.gateways, func(gw *gateway) bool { return gw.routesTo("t1", "10.0.0.1:80") })).To(BeNumerically("<", 2*time.Second))
 			leaving := catalog.Target{ID: "t1", Service: "shop", Born: 1}
 			fleet.gateways[0].signals.Observe(leaving, signal.Signals{Leaving: true})
 			half, took := untilHalfAndAll(fleet.gateways, func(gw *gateway) bool { return gw.Snapshot().IsLeaving(leaving.Life()) })
 			fleet.t.Logf("%d gateways: known to half after %v, to all after %v", size, half, took)
 			g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
-			fleet.store.setLife("t1", 2, "10.0.0.2:80", false)
-			g.Expect(untilAll(fleet.gateways, func(gw *gateway) bool { return gw.believes("t1", "10.0.0.2:80") })).To(BeNumerically("<", 2*time.Second))
+			fleet.store.setIncarnation("t1", 2, "10.0.0.2:80", false)
+			g.Expect(untilAll(fleet.gateways, func(gw *gateway) bool { return gw.routesTo("t1", "10.0.0.2:80") })).To(BeNumerically("<", 2*time.Second))
 		})
 	}
 }
