--- a/internal/gateway/discovery/wake_test.go
+++ b/internal/gateway/discovery/wake_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// sleep suspends a gateway's machine: its clock counts the time, its timers don't.
-func (g *gateway) sleep(d time.Duration) {
+// suspend suspends a gateway's machine: its clock counts the time, its timers don't.
+func (g *gateway) suspend(d time.Duration) {
 	g.suspendedFor.Add(int64(d))
 	g.Wake()
 }
@@ -22,17 +22,17 @@
 		for _, reads := range []bool{true, false} {
 			onFleet(t, 12, 2, func(g *WithT, fleet *virtualFleet) {
 				i := slices.IndexFunc(fleet.gateways, func(gw *gateway) bool { return gw.ReadsStore() == reads })
-				sleeper := fleet.gateways[i]
+				suspended := fleet.gateways[i]
 				for range 2 {
-					sleeper.sleep(slept)
-					g.Expect(sleeper.Age()).To(BeNumerically(">=", slept), "it knows how old that is")
+					suspended.suspend(slept)
+					g.Expect(suspended.Age()).To(BeNumerically(">=", slept), "it knows how old that is")
 				}
-				g.Expect(sleeper.ReadsStore()).To(Equal(reads && slept < time.Second), "a watch that began before may be cut")
+				g.Expect(suspended.ReadsStore()).To(Equal(reads && slept < time.Second), "a watch that began before may be cut")
 				fleet.store.setConfig(2)
 				took := fleet.untilVersion(fleet.gateways, 2)
 				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter), "reads %v, slept %v", reads, slept)
 				time.Sleep(3 * time.Second)
-				g.Expect(sleeper.Age()).To(BeNumerically("<", fleetTiming.StaleAfter))
+				g.Expect(suspended.Age()).To(BeNumerically("<", fleetTiming.StaleAfter))
 				fleet.t.Logf("in force everywhere after %v", took)
 			})
 		}
