--- a/internal/gateway/discovery/calm_test.go
+++ b/internal/gateway/discovery/calm_test.go
@@ -55,7 +55,7 @@
 	links := 0
 	for _, own := range all[:10] {
 		gw := discovery.New(discovery.Options{Self: own.Box, Timing: fleetTiming, Random: func() float64 { return 0.99 }})
-		gw.Meet(all)
+		gw.ObserveSightings(all)
 		if gw.DrawNeighbour(0).Hall == "hall-1" {
 			links++
 		}
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -567,7 +567,7 @@
 	other.kill()
 	again, err := net.Listen("tcp", at.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
-	first.Follower.Lose("other", at.Addr().String())
+	first.Follower.RecordLost("other", at.Addr().String())
 	start(t, "other", 0, again, &access{store: s}, []string{first.Addr().String()})
 	g.Eventually(first.log.String, eventual).Should(ContainSubstring(`msg="peer back" peer=other`))
 }
--- a/internal/gateway/discovery/export_test.go
+++ b/internal/gateway/discovery/export_test.go
@@ -9,11 +9,13 @@
 
 var errTest = errors.New("lost by a test")
 
-// Lose does what follows when another gateway does not answer.
-func (f *Follower) Lose(id, address string) { f.noteLost(member.Box{ID: id, Peer: address}, errTest) }
+// RecordLost does what follows when another gateway does not answer.
+func (f *Follower) RecordLost(id, address string) {
+	f.noteLost(member.Box{ID: id, Peer: address}, errTest)
+}
 
-// Meet takes in whom another gateway, the first of the sightings, tells of.
-func (f *Follower) Meet(sightings []peers.Sighting) {
+// ObserveSightings takes in whom another gateway, the first of the sightings, tells of.
+func (f *Follower) ObserveSightings(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.observeSightings(f.options.Clock(), sightings, f.view.Observe)
