--- a/internal/gateway/discovery/calm_test.go
+++ b/internal/gateway/discovery/calm_test.go
@@ -14,8 +14,8 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// A gateway whose knowledge is younger by one pause between two pings answers whoever
-// waits before a standby would read, though no more is heard by either.
+// A gateway whose state is fresher than the caller's by one ping interval answers a waiting
+// poll before a standby would read the store, although neither receives anything new.
 func TestPollIsAnsweredBeforeCallersStateIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -29,7 +29,7 @@
 		defer func() { _ = client.Close() }()
 		var digest, reply discovery.UpdateReply
 		g.Expect(client.Call("Feed.News", discovery.UpdateArgs{Digest: true}, &digest)).To(Succeed())
-		time.Sleep(fleetTiming.PollWait) // it pings the store as long as others ask it
+		time.Sleep(fleetTiming.PollWait) // it pings the store as long as others poll it
 		gw.access.silent.Store(true)
 		g.Expect(gw.Age()).To(BeNumerically("<", 4*fleetTiming.PingInterval/3))
 		for gw.Age() < 4*fleetTiming.PingInterval/3 {
@@ -37,15 +37,15 @@
 		}
 		age := gw.Age() + fleetTiming.PingInterval
 		left := fleetTiming.StaleAfter - age
-		question := discovery.UpdateArgs{At: digest.Delta.To, Tries: digest.Tries, Digest: true, Age: age, Wait: 2 * left}
-		g.Expect(client.Call("Feed.News", question, &reply)).To(Succeed())
-		t.Logf("answered after %v, of %v until the caller's knowledge is too old", reply.Held, left)
+		poll := discovery.UpdateArgs{At: digest.Delta.To, Tries: digest.Tries, Digest: true, Age: age, Wait: 2 * left}
+		g.Expect(client.Call("Feed.News", poll, &reply)).To(Succeed())
+		t.Logf("answered after %v, of %v until the caller's state is stale", reply.Held, left)
 		g.Expect(reply.Held).To(BeNumerically("<", left))
 	})
 }
 
-// Draws all of which are above the share of the gateways of a hall that link it to others:
-// for one hall of ten they come so 3 times in 100.
+// All random numbers are above the share of the gateways of a hall that link it to others:
+// this happens 3 times in 100 in a hall of ten.
 func TestHallIsLinkedToOthersForAnyRandomNumbers(t *testing.T) {
 	g := NewWithT(t)
 	var all []peers.Sighting
--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -18,17 +18,18 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// reportTraffic counts what the reports of a fleet take on the network, and what they say.
+// reportTraffic counts the bytes and writes of a fleet's rollout reports, and sets what
+// they report.
 type reportTraffic struct {
 	bytes   atomic.Int64
 	writes  atomic.Int64
-	failing atomic.Bool // sends to the ordered version fail
+	failing atomic.Bool // requests to the ordered version fail
 }
 
 // stageDuration is how long a stage lasts in these tests.
 const stageDuration = 3 * time.Second
 
-// decideByTime goes from stage to stage and rolls back at the fiftieth failure.
+// decideByTime advances from stage to stage by time and rolls back at the fiftieth failure.
 func decideByTime(s rollout.State) rollout.Decision {
 	next := map[int]int{0: 20, 20: 130, 130: 400, 400: 1000}[s.Order.Permille]
 	switch {
@@ -44,7 +45,7 @@
 	return rollout.Decision{}
 }
 
-// addDelivery makes the gateways of a fleet carry rollouts out, as if each sent eight
+// addDelivery makes the gateways of a fleet carry out rollouts, as if each sent eight
 // requests a second of four routes.
 func addDelivery(f *virtualFleet, c *reportTraffic) {
 	f.extraServices = func(ctx context.Context, g *gateway, self member.Box) []discovery.Service {
@@ -61,14 +62,14 @@
 				return &countedConn{Conn: conn, traffic: c}, err
 			},
 		})
-		for _, duty := range d.Duties() {
-			go func() { _ = duty(ctx) }()
+		for _, task := range d.Duties() {
+			go func() { _ = task(ctx) }()
 		}
 		return []discovery.Service{d.Service()}
 	}
 }
 
-// reports are those of one gateway that has run for some time.
+// reports returns the reports of a gateway that has run for some time.
 func (c *reportTraffic) reports(running []catalog.Rollout, ran time.Duration) []rollout.Report {
 	var out []rollout.Report
 	for _, r := range running {
@@ -88,7 +89,7 @@
 	return out
 }
 
-// countedConn counts what passes a connection, both ways.
+// countedConn counts the bytes and writes of a connection.
 type countedConn struct {
 	net.Conn
 	traffic *reportTraffic
@@ -106,7 +107,7 @@
 	return c.Conn.Write(p)
 }
 
-// onFleetWithDelivery runs f on a fleet that carries rollouts out.
+// onFleetWithDelivery runs f on a fleet that carries out rollouts.
 func onFleetWithDelivery(t *testing.T, size int, f func(g *WithT, fleet *virtualFleet, c *reportTraffic)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &reportTraffic{}
@@ -119,7 +120,7 @@
 	})
 }
 
-// awaitRolloutEnd waits until an order has its verdict, and how long that took.
+// awaitRolloutEnd waits until an order is in a final state, and returns how long that took.
 func (f *virtualFleet) awaitRolloutEnd() (catalog.Rollout, time.Duration) {
 	began := time.Now()
 	for time.Since(began) < 30*time.Second && !f.rollout().State.Final() {
@@ -144,14 +145,14 @@
 			time.Sleep(time.Second)
 			calls, seconds, gateways := fleet.store.rolloutCalls.Load(), took.Seconds(), float64(size)
 			bytes, writes := float64(c.bytes.Load()), float64(c.writes.Load())
-			t.Logf("%d gateways: completed after %v, %d calls to the store; a second and gateway: %.1f messages, %.0f bytes; at the decider %.0f messages, %.1f kB a second",
+			t.Logf("%d gateways: completed after %v, %d calls to the store; per second and gateway: %.1f messages, %.0f bytes; at the decider %.0f messages, %.1f kB per second",
 				size, took, calls, writes/seconds/gateways, bytes/seconds/gateways, writes/seconds, bytes/seconds/1000)
 			g.Expect(calls).To(BeNumerically("<", 20))
 			g.Expect(writes/seconds/gateways).To(BeNumerically("<", 6), "one report each interval")
-			stages := 5 * gateways / seconds // each is reported at once
-			g.Expect(writes/seconds).To(BeNumerically("<", 1000+stages), "however large the fleet is")
+			stages := 5 * gateways / seconds // each change of stage is reported at once
+			g.Expect(writes/seconds).To(BeNumerically("<", 1000+stages), "independent of the fleet size")
 			g.Expect(bytes / seconds / gateways).To(BeNumerically("<", 2000))
-			g.Expect(took).To(BeNumerically("<", 14*time.Second), "four stages of 3 s, and the way")
+			g.Expect(took).To(BeNumerically("<", 14*time.Second), "four stages of 3 s and the propagation")
 		})
 	}
 }
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -29,7 +29,8 @@
 
 var errDown = errors.New("the store is down")
 
-// fakeStore holds a configuration and targets and wakes watches.
+// fakeStore holds a configuration, targets, evacuations and rollouts, and wakes watches at
+// each change.
 type fakeStore struct {
 	mu          sync.Mutex
 	revision    uint64
@@ -40,22 +41,22 @@
 	evacuations []catalog.EvacuationChange
 	rollouts    map[string]catalog.Rollout
 	rolloutLog  []catalog.RolloutChange
-	// rolloutCalls counts the writes of rollouts, and the watches that told of a change.
+	// rolloutCalls counts the writes of rollouts, and the watches that reported a change.
 	rolloutCalls   atomic.Int32
 	configAt       uint64
-	body           string // of the configuration; empty for its version
+	body           string // of the configuration; if empty, the body is its version
 	oldestRevision uint64
 	woken          chan struct{}
 	calls          atomic.Int32
-	staleReads     atomic.Int32  // among the calls
-	delay          time.Duration // before each call is looked at
+	staleReads     atomic.Int32  // included in calls
+	delay          time.Duration // before each call is served
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{targets: map[string]catalog.Target{}, evacuated: map[string]bool{}, rollouts: map[string]catalog.Rollout{}, woken: make(chan struct{}), revision: 1}
 }
 
-// newFilledStore holds version 1 of a configuration and one target.
+// newFilledStore returns a store with version 1 of a configuration and one target.
 func newFilledStore() *fakeStore {
 	s := newFakeStore()
 	s.setConfig(1)
@@ -91,16 +92,16 @@
 	})
 }
 
-// forget drops the history, as after a compaction.
+// forget drops the history, as a compaction does.
 func (s *fakeStore) forget() {
 	s.change(func() { s.oldestRevision, s.changes, s.evacuations, s.rolloutLog = s.revision, nil, nil, nil })
 }
 
-// access is one gateway's way to the store, which a test can cut.
+// access is one gateway's connection to the store, which a test can interrupt.
 type access struct {
 	store   *fakeStore
-	down    atomic.Bool // calls fail at once
-	silent  atomic.Bool // calls get no answer
+	down    atomic.Bool // calls fail immediately
+	silent  atomic.Bool // calls get no response
 	latency time.Duration
 }
 
@@ -117,8 +118,8 @@
 	return nil
 }
 
-// awaitChange waits until something happens after from; the store's lock is held when
-// it returns without an error.
+// awaitChange waits until the store's revision is later than from or the wait is over; the
+// store's lock is held when it returns without an error.
 func (a *access) awaitChange(ctx context.Context, from uint64, wait time.Duration) error {
 	if err := a.call(ctx); err != nil {
 		return err
@@ -224,7 +225,7 @@
 	}
 }
 
-// logBuffer keeps log logBuffer for a test to look at.
+// logBuffer keeps log lines for inspection by a test.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -242,22 +243,22 @@
 	return l.text.String()
 }
 
-// gateway is one feed with its listener and its access to the store.
+// gateway is one Follower with its listener and its access to the store.
 type gateway struct {
 	*discovery.Follower
 	access       *access
 	log          *logBuffer
 	listener     net.Listener
 	stop         context.CancelFunc
-	fatal        *fatal.Register // nil where a test does not look at it
-	limits       *quota.Register // likewise
+	fatal        *fatal.Register // nil unless a test uses it
+	limits       *quota.Register // nil unless a test uses it
 	signals      *signals.Register
-	suspendedFor atomic.Int64 // for how long its machine was suspended
+	suspendedFor atomic.Int64 // in ns, how long its machine was suspended
 	mu           sync.Mutex
 	conns        []net.Conn
 }
 
-// Accept keeps the connections, so that a kill can end them.
+// Accept records the connections so that kill can close them.
 func (g *gateway) Accept() (net.Conn, error) {
 	conn, err := g.listener.Accept()
 	if err == nil {
@@ -271,7 +272,7 @@
 func (g *gateway) Close() error   { return g.listener.Close() }
 func (g *gateway) Addr() net.Addr { return g.listener.Addr() }
 
-// kill ends the gateway as a killed process ends.
+// kill ends the gateway like a killed process, with all of its connections.
 func (g *gateway) kill() {
 	g.stop()
 	_ = g.listener.Close()
@@ -313,7 +314,7 @@
 	return listener
 }
 
-// fleet starts gateways in two halls that know the first two as seeds.
+// fleet starts gateways in two halls, with the first two as seeds.
 func fleet(t *testing.T, s *fakeStore, n int) []*gateway {
 	t.Helper()
 	return fleetWithTiming(t, s, n, timing)
@@ -346,14 +347,15 @@
 	return startGateway(t, id, i, listener, a, seeds, timing, false)
 }
 
-// startGateway starts a gateway; first says that the whole fleet is new.
+// startGateway starts a gateway; first says that the whole fleet starts for the first time.
 func startGateway(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-" + strconv.Itoa(i%2), Start: uint64(time.Now().UnixNano())}
 	return startMember(t, self, listener, a, seeds, timing, first)
 }
 
-// startAdvertising starts a gateway that others reach at an address of another's.
+// startAdvertising starts a gateway whose peer address differs from its listener's, such as
+// that of a proxy.
 func startAdvertising(t *testing.T, id string, i int, listener net.Listener, address string, a *access, seeds []string) *gateway {
 	t.Helper()
 	self := member.Box{ID: id, Peer: address, Hall: "hall-" + strconv.Itoa(i%2), Start: uint64(time.Now().UnixNano())}
@@ -365,7 +367,7 @@
 	return startWithSource(t, self, listener, a, a.source(), seeds, timing, first)
 }
 
-// startWithSource starts a gateway that reads the store by a source.
+// startWithSource starts a gateway that reads the store through a given source.
 func startWithSource(t *testing.T, self member.Box, listener net.Listener, a *access, source discovery.Source, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -379,22 +381,22 @@
 			return routing.New(routing.Config{Version: version}), err
 		},
 	})
-	for _, duty := range g.Tasks() {
-		go func() { _ = duty(ctx) }()
+	for _, task := range g.Tasks() {
+		go func() { _ = task(ctx) }()
 	}
 	go func() { _ = g.Serve(g) }()
 	t.Cleanup(g.kill)
 	return g
 }
 
-// readersAfterUpdate lists the gateways that read the store. It ends their watches, so that
-// those that are not ranked first rest.
+// readersAfterUpdate lists the gateways that read the store. It first ends their watches by
+// a change, so that those that do not rank first stop reading.
 func readersAfterUpdate(s *fakeStore, gateways []*gateway) []*gateway {
 	s.setTarget("s1", false)
 	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool { return !gw.ReadsStore() })
 }
 
-// readingStarts counts how often gateways took up the reading, by their logs.
+// readingStarts counts, by their logs, how often gateways became readers.
 func readingStarts(gateways []*gateway) (n int) {
 	for _, gw := range gateways {
 		n += strings.Count(gw.log.String(), `msg="reading the store" reads=true`)
@@ -408,8 +410,8 @@
 	}
 }
 
-// expectCurrent waits until what gateways believe was confirmed, be it that they began
-// with a stale read.
+// expectCurrent waits until the state of all gateways is confirmed, also if they started
+// from a stale read.
 func expectCurrent(g *WithT, gateways []*gateway) {
 	for _, gw := range gateways {
 		g.Eventually(gw.Current, eventual).Should(BeTrue())
@@ -428,10 +430,10 @@
 	s.setTarget("s1", true)
 	expectVersion(g, gateways, 7)
 	for _, gw := range gateways {
-		g.Eventually(gw.targets, eventual).Should(ConsistOf("s2"), "leaving targets take nothing new")
+		g.Eventually(gw.targets, eventual).Should(ConsistOf("s2"), "leaving targets receive no new requests")
 	}
-	// From here on only one of the six reads: each change is two calls, one for
-	// either watch, and no other gateway makes any.
+	// By now only one of the six reads the store: each change takes two calls, one for
+	// each watch, and no other gateway makes any.
 	g.Eventually(func() int32 {
 		before := s.calls.Load()
 		for version := range uint64(10) {
@@ -466,15 +468,15 @@
 func TestHangingWatchOfTheReaderDoesNotHideChanges(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
-	patient := timing
-	patient.WatchWait = time.Minute // longer than this test waits
-	reader := startWithTiming(t, "reader", 0, listen(t), &access{store: s}, nil, patient)
+	custom := timing
+	custom.WatchWait = time.Minute // longer than this test takes
+	reader := startWithTiming(t, "reader", 0, listen(t), &access{store: s}, nil, custom)
 	g.Eventually(reader.version, eventual).Should(Equal(uint64(1)))
 	seeds := []string{reader.Addr().String()}
-	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, seeds, patient)
+	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, seeds, custom)
 	expectVersion(g, []*gateway{reader, other}, 1)
 	g.Eventually(func() bool {
-		s.setTarget("s1", false) // ends the watches, so that the one that is not ranked first rests
+		s.setTarget("s1", false) // ends the watches, so that the gateway that does not rank first stops reading
 		return reader.ReadsStore() != other.ReadsStore()
 	}, eventual).Should(BeTrue())
 	if other.ReadsStore() {
@@ -488,11 +490,11 @@
 func TestNewReaderConfirmsStateAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
-	patient := timing
-	patient.WatchWait = time.Hour
-	first := startWithTiming(t, "first", 0, listen(t), &access{store: s}, nil, patient)
+	custom := timing
+	custom.WatchWait = time.Hour
+	first := startWithTiming(t, "first", 0, listen(t), &access{store: s}, nil, custom)
 	expectVersion(g, []*gateway{first}, 1)
-	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, []string{first.Addr().String()}, patient)
+	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, []string{first.Addr().String()}, custom)
 	expectVersion(g, []*gateway{other}, 1)
 	g.Eventually(func() bool {
 		s.setTarget("s1", false)
@@ -502,7 +504,7 @@
 		first, other = other, first
 	}
 	first.kill()
-	g.Eventually(other.ReadsStore, eventual).Should(BeTrue(), "no change ends its watch for an hour")
+	g.Eventually(other.ReadsStore, eventual).Should(BeTrue(), "it does not wait for its watch, which no change ends for an hour")
 	g.Expect(other.Current()).To(BeTrue())
 }
 
@@ -511,18 +513,18 @@
 	s := newFilledStore()
 	gateways := fleet(t, s, 6)
 	expectVersion(g, gateways, 1)
-	reading := func() []*gateway { return readersAfterUpdate(s, gateways) }
-	g.Eventually(reading, eventual).Should(HaveLen(1))
-	first := reading()[0]
+	readers := func() []*gateway { return readersAfterUpdate(s, gateways) }
+	g.Eventually(readers, eventual).Should(HaveLen(1))
+	first := readers()[0]
 	first.access.down.Store(true)
-	g.Eventually(func() bool { now := reading(); return len(now) == 1 && now[0] != first }, eventual).Should(BeTrue())
+	g.Eventually(func() bool { now := readers(); return len(now) == 1 && now[0] != first }, eventual).Should(BeTrue())
 	before := readingStarts(gateways)
 	for version := uint64(2); version < 12; version++ {
 		time.Sleep(timing.StaleAfter / 2)
 		s.setConfig(version)
 		expectVersion(g, gateways, version)
 	}
-	g.Expect(readingStarts(gateways)-before).To(BeNumerically("<", len(gateways)), "the reading does not go round")
+	g.Expect(readingStarts(gateways)-before).To(BeNumerically("<", len(gateways)), "readers are not replaced again and again")
 }
 
 func TestNotAllGatewaysStartReadingWhenReaderIsCutOff(t *testing.T) {
@@ -540,17 +542,17 @@
 		gateways = append(gateways, startAdvertising(t, "gateway-"+strconv.Itoa(i), i, at, proxy.Address(), &access{store: s}, seeds[:min(2, i+1)]))
 	}
 	expectVersion(g, gateways, 1)
-	reading := func() []*gateway { return readersAfterUpdate(s, gateways) }
-	time.Sleep(3 * time.Second) // by then all have told each other of all
-	g.Eventually(reading, eventual).Should(HaveLen(1))
-	lost := slices.Index(gateways, reading()[0])
+	readers := func() []*gateway { return readersAfterUpdate(s, gateways) }
+	time.Sleep(3 * time.Second) // by then all gateways know all others
+	g.Eventually(readers, eventual).Should(HaveLen(1))
+	lost := slices.Index(gateways, readers()[0])
 	left := slices.Delete(slices.Clone(gateways), lost, lost+1)
 	before := readingStarts(left)
 	gateways[lost].access.silent.Store(true)
 	proxies[lost].Set(faultproxy.Fault{HoldRequests: true, HoldAnswers: true})
 	time.Sleep(2 * timing.MustReadAfter)
-	t.Logf("%d took up the reading", readingStarts(left)-before)
-	g.Expect(readingStarts(left)-before).To(BeNumerically("<", len(left)), "not all")
+	t.Logf("%d gateways started reading", readingStarts(left)-before)
+	g.Expect(readingStarts(left)-before).To(BeNumerically("<", len(left)), "not all gateways")
 	for _, gw := range left {
 		g.Expect(gw.Current()).To(BeTrue())
 	}
@@ -578,7 +580,7 @@
 	gateways := fleet(t, s, 5)
 	expectVersion(g, gateways, 1)
 	for version := uint64(2); len(gateways) > 1; version++ {
-		gateways[0].kill() // sooner or later this is the reader
+		gateways[0].kill() // one of these is the reader
 		gateways = slices.Clone(gateways[1:])
 		s.setConfig(version)
 		expectVersion(g, gateways, version)
@@ -599,12 +601,12 @@
 	listener := listen(t)
 	late := &access{store: s}
 	late.down.Store(true)
-	seeds := []string{"127.0.0.1:1", gateways[0].listener.Addr().String()} // the first seed is gone
+	seeds := []string{"127.0.0.1:1", gateways[0].listener.Addr().String()} // the first seed is unreachable
 	gw := start(t, "late", 2, listener, late, seeds)
 	g.Eventually(gw.Ready(), eventual).Should(BeClosed())
 	g.Expect(gw.version()).To(Equal(uint64(4)))
 	g.Expect(gw.targets()).To(ConsistOf("s1"))
-	g.Eventually(gw.Current, eventual).Should(BeFalse(), "nobody can confirm what is believed")
+	g.Eventually(gw.Current, eventual).Should(BeFalse(), "no gateway can confirm the state")
 }
 
 func TestFullListIsReadWhenHistoryIsGone(t *testing.T) {
@@ -631,12 +633,12 @@
 func TestSimultaneousStartIsNotTreatedAsOutage(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeStore()
-	s.delay = 200 * time.Millisecond // peers that know nothing yet are heard first
+	s.delay = 200 * time.Millisecond // peers without any state reply before the store does
 	s.setConfig(1)
 	s.setTarget("s1", false)
-	patient := timing
-	patient.RestoreWithin = time.Hour
-	for _, gw := range fleetWithTiming(t, s, 5, patient) {
+	custom := timing
+	custom.RestoreWithin = time.Hour
+	for _, gw := range fleetWithTiming(t, s, 5, custom) {
 		g.Eventually(gw.Ready(), eventual).Should(BeClosed())
 		s.setTarget("s2", false)
 		g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "s2"))
@@ -647,30 +649,30 @@
 func TestFewGatewaysOfNewFleetReadTheStore(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
-	patient := timing
-	patient.StaleAfter, patient.MayReadAfter, patient.MustReadAfter = time.Hour, time.Hour, time.Hour
+	custom := timing
+	custom.StaleAfter, custom.MayReadAfter, custom.MustReadAfter = time.Hour, time.Hour, time.Hour
 	var seeds []string
 	var gateways []*gateway
 	for i := range 6 {
 		at := listen(t)
 		seeds = append(seeds, at.Addr().String())
-		gateways = append(gateways, startGateway(t, "gateway-"+strconv.Itoa(i), i, at, &access{store: s}, seeds[:1], patient, true))
+		gateways = append(gateways, startGateway(t, "gateway-"+strconv.Itoa(i), i, at, &access{store: s}, seeds[:1], custom, true))
 	}
 	expectVersion(g, gateways, 1)
-	g.Expect(readingStarts(gateways)).To(BeNumerically("<", 4), "those that rank first by what each has heard")
+	g.Expect(readingStarts(gateways)).To(BeNumerically("<", 4), "those that rank first in their own view")
 }
 
 func TestEntriesExpiredInOutageAreNotRemovedBeforeRestoration(t *testing.T) {
-	for name, forgets := range map[string]bool{"with the history kept": false, "with the history lost": true} {
+	for name, forgets := range map[string]bool{"history kept": false, "history lost": true} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newFakeStore()
 			s.setConfig(1)
 			s.setTarget("s1", false)
 			s.setTarget("s2", false)
-			patient := timing
-			patient.RestoreWithin = 3 * time.Second // far longer than it takes to make an entry again
-			gateways := fleetWithTiming(t, s, 3, patient)
+			custom := timing
+			custom.RestoreWithin = 3 * time.Second // far longer than it takes to write an entry again
+			gateways := fleetWithTiming(t, s, 3, custom)
 			expectVersion(g, gateways, 1)
 			expectCurrent(g, gateways)
 			for _, gw := range gateways {
@@ -699,12 +701,12 @@
 			for _, gw := range gateways {
 				gw.access.down.Store(false)
 			}
-			time.Sleep(100 * time.Millisecond) // long enough to be seen, were it believed
+			time.Sleep(100 * time.Millisecond) // long enough to be noticed if the gateways applied it
 			s.setTarget("s1", false)
 			for _, gw := range gateways {
-				g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"), "what is still missing is gone")
+				g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"), "the target whose entry is still missing is gone")
 			}
-			g.Expect(least.Load()).To(BeNumerically(">", 0), "a target that lives was never taken for gone")
+			g.Expect(least.Load()).To(BeNumerically(">", 0), "a running target was never removed")
 		})
 	}
 }
@@ -721,7 +723,7 @@
 			for last := uint64(0); ; {
 				now := gw.version()
 				if now < last {
-					t.Errorf("fell from %d to %d", last, now)
+					t.Errorf("version decreased from %d to %d", last, now)
 				}
 				last = now
 				select {
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -20,7 +20,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// evacuate asks for the evacuation of a hall, or takes the hall back.
+// evacuate starts or ends the evacuation of a hall.
 func (s *fakeStore) evacuate(hall string, on bool) {
 	s.change(func() {
 		if on {
@@ -34,12 +34,13 @@
 	})
 }
 
-// sourceWithEvacuations is the source of a gateway that watches evacuations, too.
+// sourceWithEvacuations is the source of a gateway that also watches evacuations.
 func (a *access) sourceWithEvacuations() discovery.Source {
 	return a.sourceWithEvacuationWait(a.awaitChange)
 }
 
-// sourceWithPolledEvacuations is that of one that reads their list again each second.
+// sourceWithPolledEvacuations is that of a gateway that reads their list each second
+// instead.
 func (a *access) sourceWithPolledEvacuations() discovery.Source {
 	return a.sourceWithEvacuationWait(func(ctx context.Context, _ uint64, _ time.Duration) error {
 		select {
@@ -55,7 +56,8 @@
 	})
 }
 
-// sourceWithEvacuationWait waits for changes by await, which returns with the store's lock held.
+// sourceWithEvacuationWait waits for changes by awaitChange, which returns with the store's
+// lock held.
 func (a *access) sourceWithEvacuationWait(awaitChange func(ctx context.Context, from uint64, wait time.Duration) error) discovery.Source {
 	source := a.source()
 	source.Evacuations = func(ctx context.Context) (discovery.List[catalog.Evacuation], error) {
@@ -86,7 +88,7 @@
 	return source
 }
 
-// allEvacuations lists what stands; the lock is held.
+// allEvacuations lists the present evacuations; the lock is held.
 func (s *fakeStore) allEvacuations() []catalog.Evacuation {
 	var out []catalog.Evacuation
 	for _, hall := range slices.Sorted(maps.Keys(s.evacuated)) {
@@ -95,8 +97,8 @@
 	return out
 }
 
-// untilEvacuated is how long it takes until so many halls are evacuated for all of some
-// gateways.
+// untilEvacuated returns the time until a number of halls is evacuated according to all of
+// some gateways.
 func (f *virtualFleet) untilEvacuated(gateways []*gateway, halls int) time.Duration {
 	began := time.Now()
 	for time.Since(began) < 2*waitLimit {
@@ -108,22 +110,22 @@
 	return time.Since(began)
 }
 
-// Two ways of hearing of evacuations, by what they cost while all is calm and by how
-// soon one is in force everywhere.
+// Compares a watch of the evacuations with reading their list each second, by the calls
+// while nothing changes and by the time until an evacuation is in force everywhere.
 func TestEvacuationReachesFleetInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		source func(*access) discovery.Source
 		within time.Duration
 	}{
-		"by a third watch":           {(*access).sourceWithEvacuations, 600 * time.Millisecond},
-		"by a list read each second": {(*access).sourceWithPolledEvacuations, 2 * time.Second},
+		"third watch":           {(*access).sourceWithEvacuations, 600 * time.Millisecond},
+		"list read each second": {(*access).sourceWithPolledEvacuations, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onFleetWithSource(t, fleetSize(95), 1, c.source, func(g *WithT, fleet *virtualFleet) {
-				const calm = 10 // seconds
+				const idle = 10 // seconds
 				calls := fleet.store.calls.Load()
-				time.Sleep(calm * time.Second)
-				fleet.t.Logf("%.1f calls a second while all is calm", float64(fleet.store.calls.Load()-calls)/calm)
+				time.Sleep(idle * time.Second)
+				fleet.t.Logf("%.1f calls a second while nothing changes", float64(fleet.store.calls.Load()-calls)/idle)
 				for on, halls := range map[bool]int{true: 1, false: 0} {
 					fleet.store.evacuate("hall-1", on)
 					took := fleet.untilEvacuated(fleet.gateways, halls)
@@ -138,11 +140,10 @@
 	}
 }
 
-// evacuateWithin is the users' bound on an evacuation.
+// evacuateWithin is the required bound on the time until an evacuation is in force.
 const evacuateWithin = 5 * time.Second
 
-// What happens to the store and to whoever reads it in the moment in which an
-// evacuation is acknowledged.
+// The store or the gateways that read it fail at the moment an evacuation is acknowledged.
 func TestEvacuationIsAppliedDespiteFailureAtAcknowledgement(t *testing.T) {
 	all := func(fleet *virtualFleet, do func(g *gateway)) {
 		for _, gw := range fleet.gateways {
@@ -150,15 +151,15 @@
 		}
 	}
 	for name, fail := range map[string]func(fleet *virtualFleet) (bound []*gateway){
-		"nothing": func(fleet *virtualFleet) []*gateway { return fleet.gateways },
-		"those that read are killed": func(fleet *virtualFleet) []*gateway {
+		"no failure": func(fleet *virtualFleet) []*gateway { return fleet.gateways },
+		"readers are killed": func(fleet *virtualFleet) []*gateway {
 			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.kill()
 			}
 			return without(fleet.gateways, readers)
 		},
-		"those that read are cut off from all": func(fleet *virtualFleet) []*gateway {
+		"readers are cut off from all": func(fleet *virtualFleet) []*gateway {
 			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.access.silent.Store(true)
@@ -166,29 +167,29 @@
 			fleet.cutOff(readers, false)
 			return without(fleet.gateways, readers)
 		},
-		"the store is down for two seconds": func(fleet *virtualFleet) []*gateway {
+		"store is down for two seconds": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.down.Store(true) })
 			time.Sleep(2 * time.Second)
 			all(fleet, func(g *gateway) { g.access.down.Store(false) })
 			return fleet.gateways
 		},
-		"the store is silent for two seconds": func(fleet *virtualFleet) []*gateway {
+		"store does not respond for two seconds": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.silent.Store(true) })
 			time.Sleep(2 * time.Second)
 			all(fleet, func(g *gateway) { g.access.silent.Store(false) })
 			return fleet.gateways
 		},
-		"a third is turned away, whoever reads among them": func(fleet *virtualFleet) []*gateway {
+		"store refuses a third and the readers": func(fleet *virtualFleet) []*gateway {
 			for _, gw := range append(readersByLog(fleet.gateways), fleet.sample(0.35)...) {
 				gw.access.down.Store(true)
 			}
 			return fleet.gateways
 		},
-		"the history is forgotten": func(fleet *virtualFleet) []*gateway {
+		"history is gone": func(fleet *virtualFleet) []*gateway {
 			fleet.store.forget()
 			return fleet.gateways
 		},
-		"it is begun, ended and begun again while nobody can look": func(fleet *virtualFleet) []*gateway {
+		"evacuation ends and starts again while the store does not respond": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.silent.Store(true) })
 			fleet.store.evacuate("hall-1", false)
 			fleet.store.evacuate("hall-1", true)
@@ -205,7 +206,7 @@
 				fleet.t.Logf("in force after %v", took)
 				g.Expect(took).To(BeNumerically("<", evacuateWithin))
 				fleet.store.evacuate("hall-2", true)
-				g.Expect(fleet.untilEvacuated(bound, 2)).To(BeNumerically("<", evacuateWithin), "one that overlaps")
+				g.Expect(fleet.untilEvacuated(bound, 2)).To(BeNumerically("<", evacuateWithin), "an overlapping evacuation")
 				fleet.store.evacuate("hall-1", false)
 				g.Expect(fleet.untilEvacuated(bound, 1)).To(BeNumerically("<", evacuateWithin))
 			})
@@ -242,7 +243,7 @@
 	return startWithSource(t, self, listener, a, a.sourceWithEvacuations(), seeds, timing, false)
 }
 
-// Messages of the revision before evacuations were followed, as its gateways send them.
+// Messages as sent by gateways of the revision before evacuations were followed.
 type (
 	PreEvacuationPosition struct{ Config, ConfigRevision, Targets, Changed uint64 }
 	PreEvacuationDelta    struct {
@@ -283,18 +284,18 @@
 	client, err := rpc.Dial("tcp", gw.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = client.Close() }()
-	var told PreEvacuationReply
-	g.Expect(client.Call("Feed.News", PreEvacuationArgs{}, &told)).To(Succeed())
-	g.Expect(told.Delta.To.Config).To(Equal(uint64(1)))
-	g.Expect(told.Delta.Whole).To(BeTrue())
+	var reply PreEvacuationReply
+	g.Expect(client.Call("Feed.News", PreEvacuationArgs{}, &reply)).To(Succeed())
+	g.Expect(reply.Delta.To.Config).To(Equal(uint64(1)))
+	g.Expect(reply.Delta.Whole).To(BeTrue())
 	const wait = 200 * time.Millisecond
 	asked := time.Now()
-	g.Expect(client.Call("Feed.News", PreEvacuationArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries}, &PreEvacuationReply{})).To(Succeed())
-	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows: its questions wait")
+	g.Expect(client.Call("Feed.News", PreEvacuationArgs{At: reply.Delta.To, Wait: wait, Digest: true, Tries: reply.Tries}, &PreEvacuationReply{})).To(Succeed())
+	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows, so its polls wait")
 }
 
-// preEvacuationGateway answers as one of the revision before does, whose knowledge is always
-// fresh.
+// preEvacuationGateway answers like a gateway of the revision before evacuations, whose
+// state is always fresh.
 type preEvacuationGateway struct{ self member.Box }
 
 func (e *preEvacuationGateway) News(args PreEvacuationArgs, reply *PreEvacuationReply) error {
@@ -303,7 +304,7 @@
 	reply.Members = []peers.Sighting{{Box: e.self}}
 	if !args.Digest && args.At.Config < 1 {
 		var packed bytes.Buffer
-		w, _ := flate.NewWriter(&packed, flate.DefaultCompression) // the level is a valid one
+		w, _ := flate.NewWriter(&packed, flate.DefaultCompression) // the level is valid
 		_, _ = w.Write([]byte("1"))
 		_ = w.Close()
 		reply.Delta.Config = packed.Bytes()
@@ -329,15 +330,16 @@
 	a.silent.Store(true)
 	gw := startWithEvacuations(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
-	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "nobody has told of evacuations")
+	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "no gateway has sent evacuations")
 	a.silent.Store(false)
-	g.Eventually(gw.EvacuatedHallCount, eventual).Should(Equal(1), "so it reads them itself")
+	g.Eventually(gw.EvacuatedHallCount, eventual).Should(Equal(1), "it reads them itself")
 	g.Expect(gw.targets()).To(BeEmpty())
 }
 
-// A gateway that is busy sending all targets to others says how far it is and sends
-// nothing: what it said of evacuations once made others take themselves for as far, with
-// no targets.
+// Guards against a Busy reply confirming state that is not there: a gateway that is busy
+// sending all targets to others replies with its position alone. Because the reply
+// contained the evacuations, its callers once advanced to that position without having any
+// targets.
 func TestFleetRestartDistributesAllTargets(t *testing.T) {
 	onFleetWithSource(t, fleetSize(60), 1, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
 		fleet.store.evacuate("hall-1", true)
@@ -356,22 +358,22 @@
 	})
 }
 
-// A third is turned away by the store and a quarter cut off: whoever reads, the standbys
-// and the two that try after them are among these.
+// The store refuses a third of the gateways and a quarter is cut off. The reader, the
+// standbys and the next two gateways that try to read are all among these.
 func TestChangeReachesFleetWhenFirstReadersFail(t *testing.T) {
 	onFleetWithSource(t, fleetSize(60), 4, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
-		struck := readersByLog(fleet.gateways)
-		for _, gw := range struck {
+		failed := readersByLog(fleet.gateways)
+		for _, gw := range failed {
 			gw.access.down.Store(true)
 		}
 		fleet.store.setConfig(2)
 		bound := fleet.gateways
 		const fail = 5
 		began := time.Now()
-		for ; len(struck) < fail && time.Since(began) < waitLimit; time.Sleep(time.Millisecond) {
-			for _, gw := range without(readersByLog(fleet.gateways), struck) {
-				struck = append(struck, gw)
-				if len(struck) < fail {
+		for ; len(failed) < fail && time.Since(began) < waitLimit; time.Sleep(time.Millisecond) {
+			for _, gw := range without(readersByLog(fleet.gateways), failed) {
+				failed = append(failed, gw)
+				if len(failed) < fail {
 					gw.access.down.Store(true)
 					continue
 				}
@@ -382,7 +384,7 @@
 		}
 		fleet.untilVersion(bound, 2)
 		took := time.Since(began)
-		fleet.t.Logf("known after %v, %d took up the reading", took, readingStarts(fleet.gateways))
-		g.Expect(took).To(BeNumerically("<", 3*time.Second), "the time within which it must be in force")
+		fleet.t.Logf("in force after %v, %d reading starts", took, readingStarts(fleet.gateways))
+		g.Expect(took).To(BeNumerically("<", 3*time.Second), "the required bound")
 	})
 }
--- a/internal/gateway/discovery/fabric_test.go
+++ b/internal/gateway/discovery/fabric_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Delays of the fabric, one way.
+// One-way delays of the fabric.
 const (
 	sameHallDelay  = 100 * time.Microsecond
 	otherHallDelay = 1400 * time.Microsecond
 )
 
-// What a lost packet costs: it is sent again after a while, the first of a connection
-// after a longer one (the defaults of Linux).
+// Delays that a lost packet causes: the retransmission timeout, and the longer one of a
+// connection's first packet (the defaults of Linux).
 const (
 	retransmitAfter = 200 * time.Millisecond
 	redialAfter     = time.Second
@@ -25,29 +25,30 @@
 
 var errRefused = errors.New("connection refused")
 
-// fabric is a network in memory, for gateways in virtual time: bytes take a delay
-// within a hall or between two, and wait silently as long as their way is cut.
+// fabric is an in-memory network for gateways in virtual time. Bytes arrive after a delay
+// that depends on the halls, and wait without an error as long as their path is cut.
 type fabric struct {
 	mu        sync.Mutex
 	listeners map[string]*fabricListener
 	halls     map[string]string // by address
-	// cut says whether bytes pass from one address to another.
+	// cut reports whether the path from one address to another is cut.
 	cut     func(from, to string) bool
-	changed chan struct{} // closed and renewed when cut changes
-	// otherHallDelay is the delay between two halls; regions holds the region of each hall, if there
-	// are any, and wideDelay the delay between two of them.
+	changed chan struct{} // closed and replaced when cut changes
+	// otherHallDelay is the delay between two halls of a region. regions holds the region
+	// of each hall, if there are any, and otherRegionDelay is the delay between two of
+	// them.
 	otherHallDelay   time.Duration
 	regions          map[string]string
 	otherRegionDelay time.Duration
-	// loss is the share of packets that a way between two regions loses, by these.
+	// loss returns the share of packets that is lost between two regions.
 	loss   func(from, to string) float64
 	random *rand.Rand
-	// all and far count the bytes that were sent, everywhere and between halls, and
-	// writes in how many pieces.
+	// all and betweenHalls count the bytes that were sent, in total and between halls, and
+	// writes the number of writes.
 	all          atomic.Int64
 	betweenHalls atomic.Int64
 	writes       atomic.Int64
-	// betweenRegions and wideWrites count the same between regions.
+	// betweenRegions and writesBetweenRegions count bytes and writes between regions.
 	betweenRegions       atomic.Int64
 	writesBetweenRegions atomic.Int64
 }
@@ -60,7 +61,7 @@
 	}
 }
 
-// setCut changes which ways are cut.
+// setCut changes which paths are cut.
 func (f *fabric) setCut(cut func(from, to string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +70,7 @@
 	f.changed = make(chan struct{})
 }
 
-// isCut also gives what is closed when that changes.
+// isCut reports whether a path is cut; the channel is closed when that may have changed.
 func (f *fabric) isCut(from, to string) (bool, chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,31 +90,32 @@
 	}
 }
 
-// region is where an address is; the lock is held.
+// region returns the region of an address; the lock is held.
 func (f *fabric) region(address string) string { return f.regions[f.halls[address]] }
 
-// isBetweenRegions says whether a way leads from one region to another.
+// isBetweenRegions reports whether a path leads from one region to another.
 func (f *fabric) isBetweenRegions(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.region(from) != f.region(to)
 }
 
-// isBetweenHalls says whether a way leads from one hall to another.
+// isBetweenHalls reports whether a path leads from one hall to another.
 func (f *fabric) isBetweenHalls(from, to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.halls[from] != f.halls[to]
 }
 
-// setLoss changes which share of packets the ways between regions lose.
+// setLoss changes which share of packets is lost between regions.
 func (f *fabric) setLoss(loss func(from, to string) float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loss = loss
 }
 
-// lossDelay is how much later a packet comes for those that are lost before it.
+// lossDelay draws the delay of a packet by its lost transmissions. again is the delay that
+// the first loss causes; it doubles with each further one.
 func (f *fabric) lossDelay(from, to string, again time.Duration) (late time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,7 +135,7 @@
 	return l
 }
 
-// dialFrom makes the dialling of the gateway at an address.
+// dialFrom returns the dial function of the gateway at an address.
 func (f *fabric) dialFrom(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		there, _ := f.isCut(from, to)
@@ -163,7 +165,7 @@
 	}
 }
 
-// waitFor waits for a time; it is false if the context ended before.
+// waitFor waits for a time and returns false if the context ended before.
 func waitFor(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -211,7 +213,7 @@
 func (a fabricAddr) Network() string { return "fabric" }
 func (a fabricAddr) String() string  { return string(a) }
 
-// halfConn is one way of a connection.
+// halfConn is one direction of a connection.
 type halfConn struct {
 	fabric         *fabric
 	from, to       string
@@ -287,7 +289,7 @@
 	}
 }
 
-// take takes what is due, or tells how long there is nothing.
+// take reads data that has arrived, or returns how long to wait for it.
 func (h *halfConn) take(p []byte, cut bool) (n int, wait time.Duration, woken chan struct{}, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/gateway/discovery/fatal_test.go
+++ b/internal/gateway/discovery/fatal_test.go
@@ -12,16 +12,16 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quarantine"
 )
 
-// fatalRequest is one under which targets end.
+// fatalRequest is a request that terminates targets.
 var fatalRequest = quarantine.Request{Print: fingerprint.Fingerprint{Content: "fatal", Caller: "caller"}, Service: "shop"}
 
-// hasQuarantined says whether a gateway has the fatal request quarantined.
+// hasQuarantined reports whether a gateway has quarantined the fatal request.
 func (g *gateway) hasQuarantined() bool {
 	print := func() fingerprint.Fingerprint { return fatalRequest.Print }
 	return g.fatal.Verdict(print).IsQuarantined()
 }
 
-// untilQuarantined is how long it takes until some gateways have the request quarantined.
+// untilQuarantined returns the time until some gateways have quarantined the request.
 func untilQuarantined(gateways []*gateway) time.Duration {
 	began := time.Now()
 	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return !g.hasQuarantined() }) {
@@ -30,8 +30,8 @@
 	return time.Since(began)
 }
 
-// endTargets has targets end under the request, each of them at another gateway, which is
-// told to others within a second.
+// endTargets makes targets end under the request, each at another gateway, which notifies
+// others within a second.
 func endTargets(gateways []*gateway, targets int) {
 	for i := range targets {
 		gateways[i%len(gateways)].fatal.NoteEnd(fatalRequest, fmt.Sprint("t", i), 0)
@@ -42,11 +42,12 @@
 	}
 }
 
-// No gateway sees more than one of the three ends.
+// No gateway sees more than one of the three target ends, so the quarantine depends on
+// their exchange.
 func TestFatalRequestReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
-			rate := func() float64 { // of writes, a second and gateway
+			rate := func() float64 { // of writes per second and gateway
 				writes := fleet.fabric.writes.Load()
 				time.Sleep(5 * time.Second)
 				return float64(fleet.fabric.writes.Load()-writes) / 5 / float64(size)
@@ -57,12 +58,12 @@
 			g.Expect(slices.ContainsFunc(fleet.gateways, (*gateway).hasQuarantined)).To(BeFalse())
 			fleet.gateways[size-1].fatal.NoteEnd(fatalRequest, "t2", 0)
 			took := untilQuarantined(fleet.gateways)
-			fleet.t.Logf("refused everywhere after %v", took)
+			fleet.t.Logf("quarantined everywhere after %v", took)
 			g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 
 			after := rate()
-			fleet.t.Logf("%.0f writes a second and gateway, %.0f before", after, before)
-			g.Expect(after).To(BeNumerically("<", 1.3*before), "no more is said of it")
+			fleet.t.Logf("%.0f writes per second and gateway, %.0f before", after, before)
+			g.Expect(after).To(BeNumerically("<", 1.3*before), "no further traffic")
 		})
 	}
 }
@@ -89,7 +90,7 @@
 	})
 }
 
-// 64 targets end at once, each with eight requests under way: a hall loses power.
+// 64 targets end at once, each with eight requests in flight, as when a hall loses power.
 func TestManySimultaneousTargetEndsTakeBoundedTraffic(t *testing.T) {
 	onFleet(t, 17, 1, func(g *WithT, fleet *virtualFleet) {
 		bytes := fleet.fabric.all.Load()
@@ -103,9 +104,9 @@
 				gw.fatal.Tick()
 			}
 		}
-		told := float64(fleet.fabric.all.Load()-bytes) / 17
-		fleet.t.Logf("%.0f bytes a gateway in 5 s", told)
-		g.Expect(told).To(BeNumerically("<", 1<<20))
+		sent := float64(fleet.fabric.all.Load()-bytes) / 17
+		fleet.t.Logf("%.0f bytes per gateway in 5 s", sent)
+		g.Expect(sent).To(BeNumerically("<", 1<<20))
 		endTargets(fleet.gateways, 3)
 		g.Expect(untilQuarantined(fleet.gateways)).To(BeNumerically("<", 200*time.Millisecond))
 	})
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -25,12 +25,13 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/signals"
 )
 
-// These tests run whole fleets of the real code in virtual time, over a network in
-// memory and a store that counts its calls. FLEET sets their size by hand.
+// These tests run whole fleets of the real code in virtual time, over an in-memory network
+// and with a store that counts its calls. The environment variable FLEET sets the size of
+// the fleets.
 
 const fleetHalls = 6
 
-// fleetTiming is that of a deployment whose updates must be in force within 3 s.
+// fleetTiming is the timing of a deployment that must apply updates within 3 s.
 var fleetTiming = discovery.Timing{
 	StaleAfter: 1500 * time.Millisecond, MayReadAfter: 1650 * time.Millisecond, MustReadAfter: 2400 * time.Millisecond,
 	PingInterval: 300 * time.Millisecond, PollWait: 450 * time.Millisecond, PollSlack: 360 * time.Millisecond,
@@ -46,13 +47,14 @@
 	store    *fakeStore
 	seed     uint64
 	gateways []*gateway
-	// source is how gateways read the store.
+	// source returns the source by which gateways read the store.
 	source func(*access) discovery.Source
-	// extraServices starts what a gateway does besides, and gives what others may call of it; it
-	// may be nil.
+	// extraServices starts further components of a gateway and returns their net/rpc
+	// services; it may be nil.
 	extraServices func(ctx context.Context, g *gateway, self member.Box) []discovery.Service
-	// halls is how many there are, places what the gateways of one know of regions, and
-	// storeWay how far the store is from one; begin sets what is left out.
+	// halls is the number of halls, locality returns what the gateways of a hall know of
+	// regions, and storeLatency the one-way delay from a hall to the store; startAll sets
+	// defaults.
 	halls        int
 	locality     func(hall string) *locality.Map
 	storeLatency func(hall string) time.Duration
@@ -65,8 +67,8 @@
 	return usual
 }
 
-// newVirtualFleet starts a fleet for the first time, whose gateways read the store by a
-// source, and waits until it has settled.
+// newVirtualFleet starts a fleet for the first time, whose gateways read the store through
+// a given source, and waits until it has settled.
 func newVirtualFleet(t *testing.T, size int, seed uint64, source func(*access) discovery.Source) *virtualFleet {
 	f := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: source}
 	f.startAll(size)
@@ -92,7 +94,7 @@
 
 func (f *virtualFleet) address(i int) string { return "10.0.0." + strconv.Itoa(i) + ":80" }
 
-// start starts a gateway; the first of three halls are the seeds of all.
+// start starts a gateway; the first three gateways are the seeds of all.
 func (f *virtualFleet) start(i int, first bool) *gateway {
 	address, hall := f.address(i), "hall-"+strconv.Itoa(i%f.halls)
 	draws := rand.New(rand.NewPCG(f.seed, uint64(i)))
@@ -122,8 +124,8 @@
 	g.limits.OnUpdate(g.Wake)
 	g.signals.OnUpdate(g.Wake)
 	g.signals.OnLeaving(g.Drain)
-	for _, duty := range append(g.Tasks(), g.signals.Duties()...) {
-		go func() { _ = duty(ctx) }()
+	for _, task := range append(g.Tasks(), g.signals.Duties()...) {
+		go func() { _ = task(ctx) }()
 	}
 	var more []discovery.Service
 	if f.extraServices != nil {
@@ -133,7 +135,8 @@
 	return g
 }
 
-// stopAll ends all gateways; what was cut is whole again, so that all hear of it.
+// stopAll kills all gateways, after it has restored all paths so that each sees the others'
+// connections end.
 func (f *virtualFleet) stopAll() {
 	f.fabric.setCut(func(string, string) bool { return false })
 	for _, g := range f.gateways {
@@ -141,16 +144,17 @@
 	}
 }
 
-// sample lists the gateways that are struck where a sample of all is: every so many-th.
+// sample returns a random share of the gateways, which depends on the seed of the fleet
+// alone.
 func (f *virtualFleet) sample(share float64) []*gateway {
 	random := rand.New(rand.NewPCG(f.seed, 99))
-	struck := slices.Clone(f.gateways)
-	random.Shuffle(len(struck), func(i, j int) { struck[i], struck[j] = struck[j], struck[i] })
-	return struck[:int(share*float64(len(struck)))]
+	sampled := slices.Clone(f.gateways)
+	random.Shuffle(len(sampled), func(i, j int) { sampled[i], sampled[j] = sampled[j], sampled[i] })
+	return sampled[:int(share*float64(len(sampled)))]
 }
 
-// cutOff cuts the ways between some gateways and all others; oneWay leaves those out of
-// the part open.
+// cutOff cuts the paths between some gateways and all others; with oneWay, the paths out of
+// the part stay open.
 func (f *virtualFleet) cutOff(part []*gateway, oneWay bool) {
 	inside := map[string]bool{}
 	for _, g := range part {
@@ -161,7 +165,8 @@
 	})
 }
 
-// untilVersion is how long it takes until a version is in force at all of some gateways.
+// untilVersion returns the time until a version is in force at all of some gateways, at
+// most waitLimit.
 func (f *virtualFleet) untilVersion(gateways []*gateway, version uint64) time.Duration {
 	began := time.Now()
 	for time.Since(began) < waitLimit {
@@ -172,13 +177,13 @@
 	}
 	for _, g := range gateways {
 		if g.version() < version {
-			f.t.Logf("%s has not heard of it: %s", g.Addr(), g.log)
+			f.t.Logf("%s has not received it: %s", g.Addr(), g.log)
 		}
 	}
 	return waitLimit
 }
 
-// waitLimit is how long a test waits for what should come at once.
+// waitLimit bounds how long a test waits for something that should happen within moments.
 const waitLimit = 5 * time.Second
 
 // without lists the gateways that are not in a part.
@@ -186,12 +191,12 @@
 	return slices.DeleteFunc(slices.Clone(all), func(g *gateway) bool { return slices.Contains(part, g) })
 }
 
-// onFleet runs f on a settled fleet for some seeds, each in a bubble of its own.
+// onFleet runs f on a settled fleet for a number of seeds, each in a synctest bubble.
 func onFleet(t *testing.T, size int, seeds uint64, f func(g *WithT, fleet *virtualFleet)) {
 	onFleetWithSource(t, size, seeds, (*access).source, f)
 }
 
-// onFleetWithSource is measure where gateways read the store in a way of their own.
+// onFleetWithSource is onFleet with gateways that read the store through a given source.
 func onFleetWithSource(t *testing.T, size int, seeds uint64, source func(*access) discovery.Source, f func(g *WithT, fleet *virtualFleet)) {
 	for seed := range seeds {
 		t.Run(fmt.Sprintf("%d gateways, seed %d", size, seed), func(t *testing.T) {
@@ -212,11 +217,11 @@
 			fleet.store.setConfig(version)
 			took := fleet.untilVersion(fleet.gateways, version)
 			fleet.t.Logf("in force everywhere after %v", took)
-			g.Expect(took).To(BeNumerically("<", 600*time.Millisecond), "a pause in which more may gather, and the way")
+			g.Expect(took).To(BeNumerically("<", 600*time.Millisecond), "the batch delay and the propagation")
 			time.Sleep(time.Second)
 		}
 		spent := fleet.store.calls.Load() - calls
-		fleet.t.Logf("%d calls in 4 s, pings among them", spent)
+		fleet.t.Logf("%d calls in 4 s, including pings", spent)
 		g.Expect(spent).To(BeNumerically("<", 40))
 	})
 }
@@ -231,8 +236,8 @@
 					oldest = max(oldest, gw.Age())
 				}
 			}
-			fleet.t.Logf("knowledge was %v old at most", oldest)
-			g.Expect(readingStarts(fleet.gateways)).To(Equal(before), "no other takes the reading up")
+			fleet.t.Logf("the state was at most %v old", oldest)
+			g.Expect(readingStarts(fleet.gateways)).To(Equal(before), "no other gateway starts reading")
 			g.Expect(oldest).To(BeNumerically("<", fleetTiming.StaleAfter))
 		})
 	}
@@ -241,15 +246,15 @@
 func TestTrafficBetweenHallsIsBounded(t *testing.T) {
 	onFleet(t, fleetSize(100), 1, func(g *WithT, fleet *virtualFleet) {
 		size := float64(len(fleet.gateways))
-		fleet.t.Logf("%.0f bytes between halls a gateway while the fleet starts", float64(fleet.fabric.betweenHalls.Load())/size)
-		all, far, writes := fleet.fabric.all.Load(), fleet.fabric.betweenHalls.Load(), fleet.fabric.writes.Load()
-		const calm = 20 // seconds
-		time.Sleep(calm * time.Second)
-		rate := func(now, before int64) float64 { return float64(now-before) / calm / size }
-		fleet.t.Logf("a second and gateway: %.1f writes, %.0f bytes, %.0f between halls",
-			rate(fleet.fabric.writes.Load(), writes), rate(fleet.fabric.all.Load(), all), rate(fleet.fabric.betweenHalls.Load(), far))
-		g.Expect(rate(fleet.fabric.betweenHalls.Load(), far)).To(BeNumerically("<", 400))
-		g.Expect(rate(fleet.fabric.all.Load(), all)).To(BeNumerically("<", 8000), "however large the fleet is")
+		fleet.t.Logf("%.0f bytes between halls per gateway while the fleet starts", float64(fleet.fabric.betweenHalls.Load())/size)
+		all, betweenHalls, writes := fleet.fabric.all.Load(), fleet.fabric.betweenHalls.Load(), fleet.fabric.writes.Load()
+		const idle = 20 // seconds
+		time.Sleep(idle * time.Second)
+		rate := func(now, before int64) float64 { return float64(now-before) / idle / size }
+		fleet.t.Logf("per second and gateway: %.1f writes, %.0f bytes, %.0f between halls",
+			rate(fleet.fabric.writes.Load(), writes), rate(fleet.fabric.all.Load(), all), rate(fleet.fabric.betweenHalls.Load(), betweenHalls))
+		g.Expect(rate(fleet.fabric.betweenHalls.Load(), betweenHalls)).To(BeNumerically("<", 400))
+		g.Expect(rate(fleet.fabric.all.Load(), all)).To(BeNumerically("<", 8000), "independent of the fleet size")
 	})
 }
 
@@ -257,10 +262,10 @@
 	for name, c := range map[string]struct {
 		share  float64
 		oneWay bool
-		store  bool // whether those that are cut off reach the store
-		most   int  // that take up the reading in 6 s; tries that fail are many, and short
+		store  bool // whether the gateways that are cut off reach the store
+		most   int  // bound on reading starts in 6 s; without the store, many attempts fail soon
 	}{
-		"a third, each side with the store":    {0.35, false, true, 12},
+		"a third, both sides reach the store":  {0.35, false, true, 12},
 		"a third, without the store":           {0.35, false, false, 60},
 		"a third, one way":                     {0.35, true, true, 12},
 		"two thirds, with the store":           {0.65, false, true, 12},
@@ -285,12 +290,12 @@
 				took := fleet.untilVersion(bound, 2)
 				time.Sleep(2*time.Second - took)
 				spent := fleet.store.calls.Load() - calls
-				fleet.t.Logf("%d took up the reading, %d of them or before in the part, %d calls; known after %v",
+				fleet.t.Logf("%d reading starts, %d in the part in total, %d calls; in force after %v",
 					readingStarts(fleet.gateways)-before, readingStarts(part), spent, took)
-				// The reader's pings are 20 of these. Of each by itself, two calls at once and
-				// three more with back-off, the third alone would make 160.
+				// The reader's pings are 20 of these. If each gateway read by itself, with two calls
+				// at once and three more with back-off, the third alone would make 160.
 				g.Expect(spent).To(BeNumerically("<", 130))
-				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter), "by then whoever has heard nothing reads")
+				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter), "by then each gateway without updates reads the store")
 				g.Expect(readingStarts(fleet.gateways) - before).To(BeNumerically("<=", c.most))
 				fleet.fabric.setCut(func(string, string) bool { return false })
 				for _, gw := range part {
@@ -298,7 +303,7 @@
 				}
 				time.Sleep(4 * time.Second)
 				fleet.store.setConfig(3)
-				g.Expect(fleet.untilVersion(fleet.gateways, 3)).To(BeNumerically("<", time.Second), "the parts have found each other")
+				g.Expect(fleet.untilVersion(fleet.gateways, 3)).To(BeNumerically("<", time.Second), "the parts have reconnected")
 				g.Expect(len(readersByLog(fleet.gateways))).To(BeNumerically("<=", 2))
 			})
 		})
@@ -317,26 +322,26 @@
 			fleet.store.setConfig(2 + round)
 			took := fleet.untilVersion(fleet.gateways, 2+round)
 			time.Sleep(4 * time.Second)
-			fleet.t.Logf("%d read before, %d took it up; known after %v", len(readers), readingStarts(fleet.gateways)-before, took)
+			fleet.t.Logf("%d readers were killed, %d gateways started reading; in force after %v", len(readers), readingStarts(fleet.gateways)-before, took)
 			g.Expect(readers).NotTo(BeEmpty())
-			g.Expect(took).To(BeNumerically("<", 2500*time.Millisecond), "within the time for two failures")
-			// 1 to 5 as a rule, and 8 once in some sixty: those whose draws are early.
-			g.Expect(readingStarts(fleet.gateways)-before).To(BeNumerically("<=", 12), "of a hundred")
+			g.Expect(took).To(BeNumerically("<", 2500*time.Millisecond), "within the time that two failures may take")
+			// Usually 1 to 5, and 8 once in about sixty runs: those that draw a short delay.
+			g.Expect(readingStarts(fleet.gateways)-before).To(BeNumerically("<=", 12), "of a hundred gateways")
 		}
 	})
 }
 
 func TestFleetRestartReadsTheStoreFewTimes(t *testing.T) {
 	for name, late := range map[string]time.Duration{
-		"all start together":              0,
-		"those that others turn to later": 400 * time.Millisecond,
+		"all start together": 0,
+		"seeds start later":  400 * time.Millisecond,
 	} {
 		t.Run(name, func(t *testing.T) {
 			onFleet(t, fleetSize(100), 1, func(g *WithT, fleet *virtualFleet) {
 				size := len(fleet.gateways)
 				fleet.stopAll()
 				time.Sleep(time.Second)
-				calls, seen := fleet.store.calls.Load(), fleet.store.staleReads.Load()
+				calls, staleBefore := fleet.store.calls.Load(), fleet.store.staleReads.Load()
 				for i := range size {
 					i = size - 1 - i // the seeds last
 					if i == 2 {
@@ -357,16 +362,16 @@
 				}
 				slices.Sort(times)
 				time.Sleep(3 * time.Second)
-				staleReads := fleet.store.staleReads.Load() - seen
+				staleReads := fleet.store.staleReads.Load() - staleBefore
 				read := fleet.store.calls.Load() - calls - staleReads
-				fleet.t.Logf("all ready %v after the last began; %d took up the reading, %d calls, %d stale reads", times[size-1], readingStarts(fleet.gateways), read, staleReads)
+				fleet.t.Logf("all ready %v after the last start; %d reading starts, %d calls, %d stale reads", times[size-1], readingStarts(fleet.gateways), read, staleReads)
 				g.Expect(times[size-1]).To(BeNumerically("<", 300*time.Millisecond))
-				g.Expect(readingStarts(fleet.gateways)).To(BeNumerically("<=", 12), "those that others turn to, and whoever ranks first among the few that it has found")
+				g.Expect(readingStarts(fleet.gateways)).To(BeNumerically("<=", 12), "the seeds, and the gateways that rank first among the few that they have found")
 				g.Expect(read).To(BeNumerically("<", 60))
 				fleet.store.setConfig(2)
 				g.Expect(fleet.untilVersion(fleet.gateways, 2)).To(BeNumerically("<", 600*time.Millisecond))
 				for _, gw := range fleet.gateways {
-					g.Expect(gw.Current()).To(BeTrue(), "what was read from an older copy has been confirmed")
+					g.Expect(gw.Current()).To(BeTrue(), "the state of the stale read has been confirmed")
 				}
 			})
 		})
@@ -381,7 +386,7 @@
 		}
 		time.Sleep(8 * time.Second)
 		spent := fleet.store.calls.Load() - calls
-		fleet.t.Logf("%d took up the reading, %d calls in 8 s", readingStarts(fleet.gateways), spent)
+		fleet.t.Logf("%d reading starts, %d calls in 8 s", readingStarts(fleet.gateways), spent)
 		g.Expect(spent).To(BeNumerically("<", 200))
 		fleet.store.removeTarget("t1")
 		fleet.store.removeTarget("t2")
@@ -389,22 +394,22 @@
 			gw.access.down.Store(false)
 		}
 		began := time.Now()
-		lived := catalog.Target{ID: "t1"}
-		time.AfterFunc(2*time.Second, func() { fleet.store.setTarget(lived.ID, false) })
+		restored := catalog.Target{ID: "t1"}
+		time.AfterFunc(2*time.Second, func() { fleet.store.setTarget(restored.ID, false) })
 		for time.Since(began) < 4*time.Second {
 			for _, gw := range fleet.gateways {
-				g.Expect(gw.targets()).To(ContainElement(lived.ID), "its entry is made again within two seconds")
+				g.Expect(gw.targets()).To(ContainElement(restored.ID), "its entry is written again within two seconds")
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 		for _, gw := range fleet.gateways {
 			g.Expect(gw.targets()).NotTo(ContainElement("t2"), "it is gone")
 		}
-		fleet.t.Logf("%d calls until 4 s after its return", fleet.store.calls.Load()-calls)
+		fleet.t.Logf("%d calls until 4 s after the store returned", fleet.store.calls.Load()-calls)
 	})
 }
 
-// readersByLog lists the gateways that read the store.
+// readersByLog lists the gateways that read the store according to their logs.
 func readersByLog(gateways []*gateway) []*gateway {
 	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool {
 		text := gw.log.String()
--- a/internal/gateway/discovery/links.go
+++ b/internal/gateway/discovery/links.go
@@ -68,11 +68,11 @@
 
 // acquire returns the connection to an address, and dials it with a timeout if there is
 // none. The caller must release it.
-func (ls *links) acquire(ctx context.Context, address string, within time.Duration) (*link, error) {
+func (ls *links) acquire(ctx context.Context, address string, timeout time.Duration) (*link, error) {
 	if l := ls.join(address); l != nil {
 		return l, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := ls.dial(ctx, "tcp", address)
 	if err != nil {
@@ -113,12 +113,12 @@
 }
 
 // release returns a connection; one that failed is not used again.
-func (ls *links) release(l *link, broke bool) {
+func (ls *links) release(l *link, failed bool) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	l.users--
 	l.idleSince = ls.clock()
-	if broke || ls.closed || ls.idleCount() > maxIdle || ls.open[l.address] != l {
+	if failed || ls.closed || ls.idleCount() > maxIdle || ls.open[l.address] != l {
 		ls.drop(l)
 	}
 }
--- a/internal/gateway/discovery/links_test.go
+++ b/internal/gateway/discovery/links_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// pipes dials connections in memory and keeps the other end of each.
+// pipes dials in-memory connections and keeps the other end of each.
 type pipes struct{ ends []net.Conn }
 
 func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
@@ -20,7 +20,7 @@
 	return near, nil
 }
 
-// withLinks runs f on connections whose duty goes on until f returns.
+// withLinks runs f on links whose background task runs until f returns.
 func withLinks(t *testing.T, f func(g *WithT, ls *links, p *pipes)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipes{}
@@ -51,7 +51,7 @@
 		g.Expect(p.ends).To(HaveLen(1))
 		time.Sleep(idleTimeout + idleCheckEvery)
 		synctest.Wait()
-		g.Expect(ls.open).To(BeEmpty(), "closed once nobody has used it for that time")
+		g.Expect(ls.open).To(BeEmpty(), "closed once it was unused for that time")
 		use(g, ls, "peer", false)
 		g.Expect(p.ends).To(HaveLen(2))
 	})
--- a/internal/gateway/discovery/lives_test.go
+++ b/internal/gateway/discovery/lives_test.go
@@ -10,7 +10,7 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// setIncarnation writes a target's entry as one of its lives does.
+// setIncarnation writes a target's entry as one of its incarnations does.
 func (s *fakeStore) setIncarnation(id string, born int64, address string, leaving bool) {
 	s.change(func() {
 		target := catalog.Target{ID: id, Service: "shop", Address: address, Born: born, Leaving: leaving}
@@ -19,8 +19,8 @@
 	})
 }
 
-// routesTo says whether a gateway sends requests to a target at an address, and to no other
-// of its id.
+// routesTo reports whether a gateway sends requests to a target at an address, and to no
+// other target of its id.
 func (g *gateway) routesTo(id, address string) bool {
 	var found []string
 	for _, t := range g.Snapshot().Targets("shop") {
@@ -31,8 +31,9 @@
 	return len(found) == 1 && found[0] == address
 }
 
-// A target that left starts again under its id, three times in a second, while word of its
-// earlier lives still comes; and an entry without the time of a start is another writer's.
+// A target that left starts again under its id, three times within a second, while updates
+// of its earlier incarnations still arrive. An entry without a start time is from another
+// writer.
 func TestFleetFollowsTargetIncarnations(t *testing.T) {
 	onFleet(t, 12, 2, func(g *WithT, fleet *virtualFleet) {
 		store := fleet.store
@@ -53,7 +54,7 @@
 			store.setIncarnation("t1", born, fmt.Sprintf("10.0.0.%d:80", born), false)
 			time.Sleep(300 * time.Millisecond)
 		}
-		store.setIncarnation("t1", 2, "10.0.0.2:80", true) // late
+		store.setIncarnation("t1", 2, "10.0.0.2:80", true) // a late update
 		expect(true, "10.0.0.4:80")
 		store.setIncarnation("t1", 0, "10.0.0.9:80", false)
 		expect(false, "10.0.0.4:80")
@@ -63,8 +64,8 @@
 	})
 }
 
-// A target that said in an answer that it leaves takes no more requests of that gateway, also once
-// its entry is written again without saying so; one that starts again does.
+// A target that signalled in a response that it leaves receives no more requests from that
+// gateway, even if its entry is written again without that state; a new incarnation does.
 func TestLeavingTargetIsRemovedUntilItRestarts(t *testing.T) {
 	g := NewWithT(t)
 	store := newFilledStore()
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -21,11 +21,11 @@
 type change func(c *catalog.Catalog) catalog.Changed
 
 // apply makes a change to the catalog and publishes the result.
-func (f *Follower) apply(from string, modify change) {
+func (f *Follower) apply(from string, make change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.catalog.Position()
-	changed := modify(f.catalog)
+	changed := make(f.catalog)
 	if changed.Config {
 		f.decode(from)
 	}
@@ -45,14 +45,14 @@
 }
 
 // Drain marks targets as leaving that signalled in responses that they leave.
-func (f *Follower) Drain(lives []catalog.Life) {
-	lives = slices.DeleteFunc(lives, f.Snapshot().IsLeaving) // they signal it in each response
-	if len(lives) == 0 {
+func (f *Follower) Drain(incarnations []catalog.Life) {
+	incarnations = slices.DeleteFunc(incarnations, f.Snapshot().IsLeaving) // they signal it in each response
+	if len(incarnations) == 0 {
 		return
 	}
 	f.apply(fromTarget, func(c *catalog.Catalog) (changed catalog.Changed) {
-		for _, life := range lives {
-			changed.Targets = c.Drain(life) || changed.Targets
+		for _, incarnation := range incarnations {
+			changed.Targets = c.Drain(incarnation) || changed.Targets
 		}
 		return changed
 	})
--- a/internal/gateway/discovery/region_test.go
+++ b/internal/gateway/discovery/region_test.go
@@ -12,7 +12,8 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// newRegionFollower is a gateway that knows version 1 and one target.
+// newRegionFollower returns a gateway of a fleet with two regions, which knows version 1
+// and one target.
 func newRegionFollower(t *testing.T) *Follower {
 	t.Helper()
 	places := locality.New("a", "", map[string]string{"a": "north", "b": "north", "c": "south"})
@@ -48,15 +49,15 @@
 	first := push(5, "t2", before)
 	second := push(6, "t3", first.At)
 	g.Expect(f.answer(second, &UpdateReply{})).To(Succeed())
-	g.Expect(f.position()).To(Equal(before), "what lies between is missing")
-	g.Expect(f.otherRegionOffers).To(HaveLen(1), "so it is asked for")
+	g.Expect(f.position()).To(Equal(before), "the update in between is missing")
+	g.Expect(f.otherRegionOffers).To(HaveLen(1), "it is requested")
 	g.Expect(f.answer(first, &UpdateReply{})).To(Succeed())
 	g.Expect(f.position()).To(Equal(first.At))
 	g.Expect(f.answer(second, &UpdateReply{})).To(Succeed())
 	g.Expect(f.position()).To(Equal(second.At))
 	g.Expect(f.Snapshot().ByService()["shop"]).To(HaveLen(3))
 	g.Expect(f.answer(first, &UpdateReply{})).To(Succeed())
-	g.Expect(f.position()).To(Equal(second.At), "old news changes nothing")
+	g.Expect(f.position()).To(Equal(second.At), "an old update changes nothing")
 }
 
 func TestUpdatesArePushedToOtherRegionsOnly(t *testing.T) {
@@ -68,13 +69,13 @@
 	})
 	far, near := member.Box{ID: "far", Hall: "c"}, member.Box{ID: "near", Hall: "b"}
 	g.Expect(f.deltaFor(&neighbour{peer: near, position: behind}).IsEmpty()).To(BeTrue())
-	g.Expect(f.deltaFor(&neighbour{peer: far}).IsEmpty()).To(BeTrue(), "one that knows nothing asks for all")
+	g.Expect(f.deltaFor(&neighbour{peer: far}).IsEmpty()).To(BeTrue(), "a neighbour without any state requests the full catalog")
 	g.Expect(f.deltaFor(&neighbour{peer: far, position: f.position()}).IsEmpty()).To(BeTrue())
-	news := f.deltaFor(&neighbour{peer: far, position: behind})
-	body, err := inflate(news.Config)
+	delta := f.deltaFor(&neighbour{peer: far, position: behind})
+	body, err := inflate(delta.Config)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(body)).To(Equal("two"))
-	g.Expect(news.Changes).To(BeEmpty())
+	g.Expect(delta.Changes).To(BeEmpty())
 }
 
 func TestTimeoutsAreLongerForOtherRegions(t *testing.T) {
@@ -83,7 +84,7 @@
 	g.Expect(f.answerSlack(member.Box{Hall: "b"})).To(Equal(300 * time.Millisecond))
 	g.Expect(f.answerSlack(member.Box{Hall: "c"})).To(Equal(700 * time.Millisecond))
 	g.Expect(f.dialSlack(member.Box{Hall: "b"})).To(Equal(100 * time.Millisecond))
-	g.Expect(f.dialSlack(member.Box{})).To(Equal(500*time.Millisecond), "of a seed, nothing is known")
+	g.Expect(f.dialSlack(member.Box{})).To(Equal(500*time.Millisecond), "the hall of a seed is unknown")
 	one := New(Options{Self: member.Box{ID: "self", Hall: "a"}, Timing: f.options.Timing})
-	g.Expect(one.dialSlack(member.Box{Hall: "z"})).To(Equal(100*time.Millisecond), "all is one region")
+	g.Expect(one.dialSlack(member.Box{Hall: "z"})).To(Equal(100*time.Millisecond), "there is only one region")
 }
--- a/internal/gateway/discovery/regions_test.go
+++ b/internal/gateway/discovery/regions_test.go
@@ -16,15 +16,16 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// These tests run fleets that span regions of two halls, the store in one of them. FLEET,
-// REGIONS and WIDE_MS (the delay between two regions, one way) set them by hand.
+// These tests run fleets that span regions of two halls each, with the store in one of
+// them. The environment variables FLEET, REGIONS and WIDE_MS (the one-way delay between two
+// regions) set their parameters.
 
 const (
 	hallsOfRegion          = 2
 	otherHallInRegionDelay = 500 * time.Microsecond
 	defaultRegionDelay     = 20 * time.Millisecond
 	storeRegion            = "region-0"
-	// withinRegionsSlack is how long a change is on its way within regions.
+	// withinRegionsSlack is how long a change takes to spread within regions.
 	withinRegionsSlack = 50 * time.Millisecond
 )
 
@@ -35,7 +36,7 @@
 	return usual
 }
 
-// regionDelays are the delays between regions to play.
+// regionDelays returns the delays between regions to test with.
 func regionDelays() []time.Duration {
 	if ms := intFromEnvironment("WIDE_MS", 0); ms > 0 {
 		return []time.Duration{time.Duration(ms) * time.Millisecond}
@@ -43,15 +44,15 @@
 	return []time.Duration{defaultRegionDelay, 5 * defaultRegionDelay, 10 * defaultRegionDelay}
 }
 
-// regionFleet is a fleet over regions.
+// regionFleet is a fleet that spans regions.
 type regionFleet struct {
 	*virtualFleet
 	regions int
 }
 
-func newRegionFleet(t *testing.T, size, regions int, seed uint64, wide time.Duration) *regionFleet {
+func newRegionFleet(t *testing.T, size, regions int, seed uint64, regionDelay time.Duration) *regionFleet {
 	f := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), seed: seed, source: sourceWithLatency, halls: regions * hallsOfRegion}
-	f.fabric.otherHallDelay, f.fabric.otherRegionDelay, f.fabric.regions = otherHallInRegionDelay, wide, map[string]string{}
+	f.fabric.otherHallDelay, f.fabric.otherRegionDelay, f.fabric.regions = otherHallInRegionDelay, regionDelay, map[string]string{}
 	for hall := range f.halls {
 		f.fabric.regions["hall-"+strconv.Itoa(hall)] = "region-" + strconv.Itoa(hall%regions)
 	}
@@ -59,7 +60,7 @@
 		if f.fabric.regions[hall] == storeRegion {
 			return otherHallInRegionDelay
 		}
-		return wide
+		return regionDelay
 	}
 	f.locality = func(hall string) *locality.Map { return locality.New(hall, "", f.fabric.regions) }
 	f.startAll(size)
@@ -77,7 +78,8 @@
 	return f.fabric.region(g.Addr().String())
 }
 
-// sourceWithLatency is the usual source, whose answers spend a while on their way.
+// sourceWithLatency is the basic source with responses that are delayed as well as
+// requests.
 func sourceWithLatency(a *access) discovery.Source {
 	source := a.source()
 	source.Config = delayedCall(a, source.Config)
@@ -107,11 +109,11 @@
 	}
 }
 
-// onRegionFleet runs f on a settled fleet in a bubble of its own.
-func onRegionFleet(t *testing.T, size, regions int, seed uint64, wide time.Duration, f func(g *WithT, fleet *regionFleet)) {
-	t.Run(fmt.Sprintf("%d gateways, %d regions, seed %d, %v", size, regions, seed, wide), func(t *testing.T) {
+// onRegionFleet runs f on a settled fleet in a synctest bubble.
+func onRegionFleet(t *testing.T, size, regions int, seed uint64, regionDelay time.Duration, f func(g *WithT, fleet *regionFleet)) {
+	t.Run(fmt.Sprintf("%d gateways, %d regions, seed %d, %v", size, regions, seed, regionDelay), func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			fleet := newRegionFleet(t, size, regions, seed, wide)
+			fleet := newRegionFleet(t, size, regions, seed, regionDelay)
 			defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
 			defer fleet.stopAll()
 			f(NewWithT(t), fleet)
@@ -119,14 +121,14 @@
 	})
 }
 
-// traffic is what has passed between regions.
+// traffic counts what was sent between regions.
 type traffic struct{ bytes, writes int64 }
 
 func (f *regionFleet) regionTraffic() traffic {
 	return traffic{bytes: f.fabric.betweenRegions.Load(), writes: f.fabric.writesBetweenRegions.Load()}
 }
 
-// maxAge is the greatest age of what any gateway knows, over a time.
+// maxAge returns the greatest age of any gateway's state during a time.
 func (f *regionFleet) maxAge(over time.Duration) (age time.Duration) {
 	for began := time.Now(); time.Since(began) < over; time.Sleep(50 * time.Millisecond) {
 		for _, gw := range f.gateways {
@@ -146,11 +148,11 @@
 
 func TestConfigurationChangeReachesAllRegions(t *testing.T) {
 	size, regions := fleetSize(93), intFromEnvironment("REGIONS", 3)
-	for _, wide := range regionDelays() {
-		onRegionFleet(t, size, regions, 0, wide, func(g *WithT, fleet *regionFleet) {
-			const calm = 20 // seconds
+	for _, regionDelay := range regionDelays() {
+		onRegionFleet(t, size, regions, 0, regionDelay, func(g *WithT, fleet *regionFleet) {
+			const idle = 20 // seconds
 			before, calls := fleet.regionTraffic(), fleet.store.calls.Load()
-			oldest := fleet.maxAge(calm * time.Second)
+			oldest := fleet.maxAge(idle * time.Second)
 			after := fleet.regionTraffic()
 			spent := fleet.store.calls.Load() - calls
 			var took []time.Duration
@@ -159,18 +161,18 @@
 				took = append(took, fleet.untilVersion(fleet.gateways, version).Round(time.Millisecond))
 				time.Sleep(time.Second)
 			}
-			g.Expect(slices.Max(took)).To(BeNumerically("<=", 5*wide+withinRegionsSlack))
+			g.Expect(slices.Max(took)).To(BeNumerically("<=", 5*regionDelay+withinRegionsSlack))
 			g.Expect(oldest).To(BeNumerically("<", fleetTiming.MustReadAfter))
-			g.Expect(spent).To(BeNumerically("<", 140), "one reads, and pings three times a second")
-			fleet.t.Logf("FIGURES size %d regions %d wide %v: start %d kB; calm: %d calls, oldest %v, %.1f kB/s, %.0f writes/s between regions; took up %d, reads in %v; in force after %v",
-				size, regions, wide, before.bytes/1000, spent, oldest.Round(time.Millisecond), float64(after.bytes-before.bytes)/calm/1000,
-				float64(after.writes-before.writes)/calm, readingStarts(fleet.gateways), fleet.readingRegions(), took)
+			g.Expect(spent).To(BeNumerically("<", 140), "one gateway reads, and pings three times a second")
+			fleet.t.Logf("FIGURES size %d regions %d delay %v: start %d kB; idle: %d calls, oldest %v, %.1f kB/s, %.0f writes/s between regions; %d reading starts, readers in %v; in force after %v",
+				size, regions, regionDelay, before.bytes/1000, spent, oldest.Round(time.Millisecond), float64(after.bytes-before.bytes)/idle/1000,
+				float64(after.writes-before.writes)/idle, readingStarts(fleet.gateways), fleet.readingRegions(), took)
 		})
 	}
 }
 
-// cutRegions cuts the ways between some regions and all others; oneWay leaves those out
-// of them open.
+// cutRegions cuts the paths between some regions and all others; with oneWay, the paths out
+// of them stay open.
 func (f *regionFleet) cutRegions(regions []string, oneWay bool) {
 	inside := map[string]bool{}
 	for _, gw := range f.gateways {
@@ -184,16 +186,16 @@
 func TestPartitionedRegionReadsTheStoreAndRejoins(t *testing.T) {
 	for name, c := range map[string]struct {
 		oneWay bool
-		store  bool // whether those that are cut off reach the store
+		store  bool // whether the gateways that are cut off reach the store
 		region string
 	}{
-		"both ways":                       {false, true, "region-1"},
-		"both ways, from the store, too":  {false, false, "region-1"},
-		"one way":                         {true, true, "region-2"},
-		"one way, from the store, too":    {true, false, "region-2"},
-		"the store's region":              {false, true, storeRegion},
-		"the store's region, one way":     {true, true, storeRegion},
-		"where the others don't reach it": {false, true, storeRegion},
+		"both ways":                     {false, true, "region-1"},
+		"both ways, and from the store": {false, false, "region-1"},
+		"one way":                       {true, true, "region-2"},
+		"one way, and from the store":   {true, false, "region-2"},
+		"the store's region":            {false, true, storeRegion},
+		"the store's region, one way":   {true, true, storeRegion},
+		"the store's region, the others don't reach the store": {false, true, storeRegion},
 	} {
 		t.Run(name, func(t *testing.T) {
 			onRegionFleet(t, fleetSize(48), 3, 1, defaultRegionDelay, func(g *WithT, fleet *regionFleet) {
@@ -201,39 +203,39 @@
 				rest := without(fleet.gateways, part)
 				before, calls := readingStarts(fleet.gateways), fleet.store.calls.Load()
 				fleet.cutRegions([]string{c.region}, c.oneWay)
-				dark := part
-				if name == "where the others don't reach it" {
-					dark = rest
+				withoutStore := part
+				if name == "the store's region, the others don't reach the store" {
+					withoutStore = rest
 				}
-				reached := fleet.gateways
-				if !c.store || len(dark) == len(rest) {
-					for _, gw := range dark {
+				withStore := fleet.gateways
+				if !c.store || len(withoutStore) == len(rest) {
+					for _, gw := range withoutStore {
 						gw.access.silent.Store(true)
 					}
-					reached = without(fleet.gateways, dark)
+					withStore = without(fleet.gateways, withoutStore)
 				}
 				time.Sleep(4 * time.Second)
 				sent := fleet.regionTraffic()
 				fleet.store.setConfig(2)
-				took := fleet.untilVersion(reached, 2)
+				took := fleet.untilVersion(withStore, 2)
 				time.Sleep(3*time.Second - took)
 				spent := fleet.store.calls.Load() - calls
-				fleet.t.Logf("%d took up the reading, %d calls in 7 s; known after %v where the store is reached; %d bytes between regions in 3 s",
+				fleet.t.Logf("%d reading starts, %d calls in 7 s; in force after %v where the store is reachable; %d bytes between regions in 3 s",
 					readingStarts(fleet.gateways)-before, spent, took, fleet.regionTraffic().bytes-sent.bytes)
 				g.Expect(took).To(BeNumerically("<", 500*time.Millisecond))
 				g.Expect(spent).To(BeNumerically("<", 150))
 				for _, gw := range fleet.gateways {
-					g.Expect(gw.targets()).NotTo(BeEmpty(), "all serve on with what they know")
+					g.Expect(gw.targets()).NotTo(BeEmpty(), "all continue with their last known state")
 				}
 				fleet.fabric.setCut(func(string, string) bool { return false })
-				for _, gw := range dark {
+				for _, gw := range withoutStore {
 					gw.access.silent.Store(false)
 				}
 				time.Sleep(6 * time.Second)
 				fleet.store.setConfig(3)
 				took = fleet.untilVersion(fleet.gateways, 3)
-				fleet.t.Logf("healed: known after %v, reads in %v", took, fleet.readingRegions())
-				g.Expect(took).To(BeNumerically("<", 500*time.Millisecond), "the regions have found each other")
+				fleet.t.Logf("after the partition: in force after %v, readers in %v", took, fleet.readingRegions())
+				g.Expect(took).To(BeNumerically("<", 500*time.Millisecond), "the regions have reconnected")
 				g.Expect(len(readersByLog(fleet.gateways))).To(BeNumerically("<=", 2))
 			})
 		})
@@ -243,9 +245,9 @@
 func TestRegionWithPacketLossReceivesChanges(t *testing.T) {
 	for _, share := range []float64{0.03, 0.1} {
 		onRegionFleet(t, fleetSize(48), 3, 1, defaultRegionDelay, func(g *WithT, fleet *regionFleet) {
-			const poor = "region-1"
+			const lossy = "region-1"
 			fleet.fabric.setLoss(func(from, to string) float64 {
-				if from == poor || to == poor {
+				if from == lossy || to == lossy {
 					return share
 				}
 				return 0
@@ -258,7 +260,7 @@
 				time.Sleep(time.Second)
 			}
 			spent := fleet.store.calls.Load() - calls
-			fleet.t.Logf("%.0f of 100 packets lost: in force after %v; %d took up the reading, %d calls in 10 s",
+			fleet.t.Logf("%.0f of 100 packets lost: in force after %v; %d reading starts, %d calls in 10 s",
 				100*share, took, readingStarts(fleet.gateways)-before, spent)
 			g.Expect(slices.Max(took)).To(BeNumerically("<", time.Second))
 			g.Expect(spent).To(BeNumerically("<", 150))
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -21,7 +21,7 @@
 
 var errRevision = errors.New("the object has another revision")
 
-// putRollout writes an order, or how far it has come.
+// putRollout writes an order, or its progress.
 func (s *fakeStore) putRollout(r catalog.Rollout) {
 	s.change(func() { s.putRolloutLocked(r) })
 }
@@ -42,7 +42,7 @@
 	})
 }
 
-// recordRollout is a write on condition of the revision.
+// recordRollout writes an order on condition of its revision.
 func (s *fakeStore) recordRollout(r catalog.Rollout) (discovery.RecordResult, error) {
 	s.rolloutCalls.Add(1)
 	record, err := discovery.RecordResult{Outcome: discovery.RecordRefused}, errRevision
@@ -58,7 +58,7 @@
 	return record, err
 }
 
-// allRollouts lists what stands; the lock is held.
+// allRollouts lists the present orders; the lock is held.
 func (s *fakeStore) allRollouts() []catalog.Rollout {
 	var out []catalog.Rollout
 	for _, service := range slices.Sorted(maps.Keys(s.rollouts)) {
@@ -67,7 +67,8 @@
 	return out
 }
 
-// sourceWithRollouts is the source of a gateway that watches rollouts as well as evacuations.
+// sourceWithRollouts is the source of a gateway that watches rollouts as well as
+// evacuations.
 func (a *access) sourceWithRollouts() discovery.Source {
 	source := a.sourceWithEvacuations()
 	source.Rollouts = func(ctx context.Context) (discovery.List[catalog.Rollout], error) {
@@ -107,8 +108,8 @@
 	return source
 }
 
-// permille is the share that a gateway believes the version of a service to take; -1
-// where there is no order.
+// permille returns the share that a service's ordered version takes according to a gateway;
+// -1 if there is no order.
 func (g *gateway) permille(service string) int {
 	for _, r := range g.Rollouts() {
 		if r.Service == service {
@@ -118,7 +119,7 @@
 	return -1
 }
 
-// untilShare is how long it takes until all of some gateways believe in a share.
+// untilShare returns the time until all of some gateways know a share.
 func (f *virtualFleet) untilShare(gateways []*gateway, permille int) time.Duration {
 	began := time.Now()
 	for time.Since(began) < 2*waitLimit {
@@ -132,33 +133,32 @@
 
 func TestRolloutReachesFleetWithin300ms(t *testing.T) {
 	onFleetWithSource(t, fleetSize(106), 1, (*access).sourceWithRollouts, func(g *WithT, fleet *virtualFleet) {
-		const calm = 10 // seconds
+		const idle = 10 // seconds
 		calls := fleet.store.calls.Load()
-		time.Sleep(calm * time.Second)
-		fleet.t.Logf("%.1f calls a second while all is calm", float64(fleet.store.calls.Load()-calls)/calm)
+		time.Sleep(idle * time.Second)
+		fleet.t.Logf("%.1f calls a second while nothing changes", float64(fleet.store.calls.Load()-calls)/idle)
 		for _, permille := range []int{0, 50, 300, 1000, 0} {
 			fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Permille: permille})
 			took := fleet.untilShare(fleet.gateways, permille)
 			fleet.t.Logf("%d in force everywhere after %v", permille, took)
-			g.Expect(took).To(BeNumerically("<", 300*time.Millisecond), "no pause in which more may gather")
+			g.Expect(took).To(BeNumerically("<", 300*time.Millisecond), "without a batch delay")
 		}
 		fleet.store.removeRollout("shop")
 		g.Expect(fleet.untilShare(fleet.gateways, -1)).To(BeNumerically("<", 300*time.Millisecond))
 	})
 }
 
-// What happens to the store and to whoever reads it in the moment in which a roll-back is
-// recorded.
+// The store or the gateways that read it fail at the moment a rollback is recorded.
 func TestRollbackIsAppliedDespiteFailureAtRecording(t *testing.T) {
 	for name, fail := range map[string]func(fleet *virtualFleet) (bound []*gateway){
-		"those that read are killed": func(fleet *virtualFleet) []*gateway {
+		"readers are killed": func(fleet *virtualFleet) []*gateway {
 			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.kill()
 			}
 			return without(fleet.gateways, readers)
 		},
-		"those that read are cut off from all": func(fleet *virtualFleet) []*gateway {
+		"readers are cut off from all": func(fleet *virtualFleet) []*gateway {
 			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.access.silent.Store(true)
@@ -166,15 +166,15 @@
 			fleet.cutOff(readers, false)
 			return without(fleet.gateways, readers)
 		},
-		"the history is forgotten": func(fleet *virtualFleet) []*gateway {
+		"history is gone": func(fleet *virtualFleet) []*gateway {
 			fleet.store.forget()
 			return fleet.gateways
 		},
-		"half is cut off, and both halves reach the store": func(fleet *virtualFleet) []*gateway {
+		"half is cut off, both halves reach the store": func(fleet *virtualFleet) []*gateway {
 			fleet.cutOff(fleet.sample(0.5), false)
 			return fleet.gateways
 		},
-		"a third is turned away, whoever reads among them": func(fleet *virtualFleet) []*gateway {
+		"store refuses a third and the readers": func(fleet *virtualFleet) []*gateway {
 			for _, gw := range append(readersByLog(fleet.gateways), fleet.sample(0.35)...) {
 				gw.access.down.Store(true)
 			}
@@ -195,7 +195,7 @@
 	}
 }
 
-// Messages of the revision before rollouts were followed, as its gateways send them.
+// Messages as sent by gateways of the revision before rollouts were followed.
 type (
 	PreRolloutPosition struct{ Config, ConfigRevision, Targets, Changed, Evacuations, EvacuationsChanged uint64 }
 	PreRolloutDelta    struct {
@@ -247,19 +247,19 @@
 	client, err := rpc.Dial("tcp", gw.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = client.Close() }()
-	var told PreRolloutReply
-	g.Expect(client.Call("Feed.News", PreRolloutArgs{FollowsEvacuations: true}, &told)).To(Succeed())
-	g.Expect(told.Delta.To.Config).To(Equal(uint64(1)))
-	g.Expect(told.Delta.Whole).To(BeTrue())
+	var reply PreRolloutReply
+	g.Expect(client.Call("Feed.News", PreRolloutArgs{FollowsEvacuations: true}, &reply)).To(Succeed())
+	g.Expect(reply.Delta.To.Config).To(Equal(uint64(1)))
+	g.Expect(reply.Delta.Whole).To(BeTrue())
 	const wait = 200 * time.Millisecond
 	asked := time.Now()
-	args := PreRolloutArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries, FollowsEvacuations: true}
+	args := PreRolloutArgs{At: reply.Delta.To, Wait: wait, Digest: true, Tries: reply.Tries, FollowsEvacuations: true}
 	g.Expect(client.Call("Feed.News", args, &PreRolloutReply{})).To(Succeed())
-	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows: its questions wait")
+	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows, so its polls wait")
 }
 
-// preRolloutGateway answers as one of the revision before does, whose knowledge is always
-// fresh.
+// preRolloutGateway answers like a gateway of the revision before rollouts, whose state is
+// always fresh.
 type preRolloutGateway struct{ preEvacuationGateway }
 
 func (b *preRolloutGateway) News(args PreRolloutArgs, reply *PreRolloutReply) error {
@@ -291,8 +291,8 @@
 	a.silent.Store(true)
 	gw := startWithRollouts(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(func() bool { return gw.Snapshot().Table() != nil }, eventual).Should(BeTrue())
-	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "nobody has told of rollouts")
+	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "no gateway has sent rollouts")
 	a.silent.Store(false)
-	g.Eventually(func() int { return gw.permille("shop") }, eventual).Should(Equal(50), "so it reads them itself")
+	g.Eventually(func() int { return gw.permille("shop") }, eventual).Should(Equal(50), "it reads them itself")
 	g.Eventually(gw.Current, eventual).Should(BeTrue())
 }
--- a/internal/gateway/discovery/saved.go
+++ b/internal/gateway/discovery/saved.go
@@ -165,8 +165,8 @@
 	retry.InitialInterval = initialRetry
 	retry.MaxInterval = maxOtherRetry
 	for ctx.Err() == nil {
-		object, worth := f.objectToSave()
-		if !worth {
+		object, needed := f.objectToSave()
+		if !needed {
 			if !f.waitForChange(ctx, maxRoleCheckInterval) {
 				return nil
 			}
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -8,13 +8,10 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// fullDeltaBurst and fullDeltaInterval limit how often the full catalog is sent: a burst,
-// then one each interval. With 11 kB each, a list of 719 targets, this uses half of a link
-// of 20 Mbit/s; gateways that received it forward it to others meanwhile.
 const (
-	// fullDeltaBurst and wholeEvery bound how often all that is known is sent: so many at
-	// once, then one each wholeEvery. Of 11 kB each, a list of 719 targets, they
-	// take half of a link of 20 Mbit/s; those that were sent it send it to others meanwhile.
+	// fullDeltaBurst and fullDeltaInterval limit how often the full catalog is sent: a burst,
+	// then one each interval. With 11 kB each, a list of 719 targets, this uses half of a link
+	// of 20 Mbit/s; gateways that received it forward it to others meanwhile.
 	fullDeltaBurst    = 4
 	fullDeltaInterval = 8 * time.Millisecond
 	// staleCheckInterval is the time between two checks of a waiting request whose caller's
--- a/internal/gateway/discovery/serve_test.go
+++ b/internal/gateway/discovery/serve_test.go
@@ -17,19 +17,19 @@
 	f.confirm(now, "reader")
 	asked := now
 	fresh := UpdateArgs{At: f.catalog.Position(), Age: 100 * time.Millisecond}
-	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "the caller's news are as good")
+	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "the caller's state is as fresh")
 	now = now.Add(700 * time.Millisecond)
-	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "both have grown old")
+	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "both are stale")
 	changed := f.changed
 	f.confirm(now, "reader")
-	g.Expect(changed).To(BeClosed(), "those that wait look again")
+	g.Expect(changed).To(BeClosed(), "waiting polls check again")
 	g.Expect(f.hasAnswer(fresh, asked)).To(BeTrue())
 	now = now.Add(time.Minute)
-	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "both are old: the caller asks others as well, and hears from whoever is first")
+	g.Expect(f.hasAnswer(fresh, asked)).To(BeFalse(), "both are stale: the caller also polls others, of which the first one answers")
 	f.noteTries(now, []reader.Try{{ID: "other"}})
-	g.Expect(f.hasAnswer(fresh, asked)).To(BeTrue(), "somebody tries to read")
+	g.Expect(f.hasAnswer(fresh, asked)).To(BeTrue(), "a gateway tries to read the store")
 	fresh.Tries = []reader.Try{{ID: "other"}}
-	g.Expect(f.hasAnswer(fresh, now)).To(BeFalse(), "it knows that")
+	g.Expect(f.hasAnswer(fresh, now)).To(BeFalse(), "the caller knows that")
 	f.SetLeaving()
-	g.Expect(f.hasAnswer(fresh, now)).To(BeTrue(), "the caller should look elsewhere")
+	g.Expect(f.hasAnswer(fresh, now)).To(BeTrue(), "the caller should ask another gateway")
 }
--- a/internal/gateway/discovery/signals_test.go
+++ b/internal/gateway/discovery/signals_test.go
@@ -14,13 +14,14 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/signal"
 )
 
-// untilAll is how long it takes until something holds at all gateways.
+// untilAll returns the time until a condition holds at all gateways.
 func untilAll(gateways []*gateway, holds func(g *gateway) bool) time.Duration {
 	_, all := untilHalfAndAll(gateways, holds)
 	return all
 }
 
-// untilHalfAndAll is how long it takes until something holds at half of the gateways, and at all.
+// untilHalfAndAll returns the times until a condition holds at half of the gateways and at
+// all.
 func untilHalfAndAll(gateways []*gateway, holds func(g *gateway) bool) (half, all time.Duration) {
 	began := time.Now()
 	left := slices.Clone(gateways)
@@ -36,36 +37,37 @@
 	}
 }
 
-// Each gateway of a large fleet found out for itself that a target asks for back-off, by a request
-// that was turned away.
+// Guards against each gateway of a large fleet sending a request to a target that asks for
+// back-off, and having it refused, before it backs off.
 func TestTargetBackOffReachesFleetWithin100ms(t *testing.T) {
-	resting := catalog.Target{ID: "t1", Service: "shop", Born: 1}
-	serving := []catalog.Target{resting, {ID: "t2", Service: "shop", Born: 1}}
+	backingOff := catalog.Target{ID: "t1", Service: "shop", Born: 1}
+	candidates := []catalog.Target{backingOff, {ID: "t2", Service: "shop", Born: 1}}
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
-			holds := func(gw *gateway) bool { return gw.signals.Avoided(serving)[resting.Life()] }
-			fleet.gateways[0].signals.Observe(resting, signal.Signals{BackOff: 5 * time.Second})
+			holds := func(gw *gateway) bool { return gw.signals.Avoided(candidates)[backingOff.Life()] }
+			fleet.gateways[0].signals.Observe(backingOff, signal.Signals{BackOff: 5 * time.Second})
 			time.Sleep(time.Second)
-			g.Expect(slices.IndexFunc(fleet.gateways[1:], holds)).To(Equal(-1), "it asked one gateway alone")
-			fleet.gateways[1].signals.Observe(resting, signal.Signals{BackOff: 5 * time.Second})
+			g.Expect(slices.IndexFunc(fleet.gateways[1:], holds)).To(Equal(-1), "it asked only one gateway")
+			fleet.gateways[1].signals.Observe(backingOff, signal.Signals{BackOff: 5 * time.Second})
 			bytes := fleet.fabric.all.Load()
 			half, took := untilHalfAndAll(fleet.gateways, holds)
 			sent := float64(fleet.fabric.all.Load()-bytes) / float64(size)
-			fleet.t.Logf("%d gateways: known to half after %v, to all after %v, %.0f bytes a gateway meanwhile", size, half, took, sent)
+			fleet.t.Logf("%d gateways: known to half after %v, to all after %v, %.0f bytes per gateway meanwhile", size, half, took, sent)
 			g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 			time.Sleep(4500 * time.Millisecond)
-			g.Expect(slices.IndexFunc(fleet.gateways[2:], holds)).To(Equal(-1), "it lapses everywhere")
-			g.Expect(fleet.gateways[1].signals.Left(resting.Life())).To(BeNumerically(">", 0), "this one was asked itself, and for longer")
-			g.Expect(fleet.gateways[2].signals.Left(resting.Life())).To(BeZero())
+			g.Expect(slices.IndexFunc(fleet.gateways[2:], holds)).To(Equal(-1), "it expires everywhere")
+			g.Expect(fleet.gateways[1].signals.Left(backingOff.Life())).To(BeNumerically(">", 0), "the target asked this gateway itself, and for longer")
+			g.Expect(fleet.gateways[2].signals.Left(backingOff.Life())).To(BeZero())
 		})
 	}
 }
 
-// A target says to one gateway alone that it leaves, and its entry does not.
+// A target signals to a single gateway that it leaves, while its entry in the store does
+// not.
 func TestLeavingTargetReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
-			for i := range 300 { // all tell when they started
+			for i := range 300 { // all report when they started
 				fleet.store.setIncarnation(fmt.Sprint("t", i), 1, "10.0.0.1:80", false)
 			}
 			time.Sleep(2 * time.Second)
@@ -81,7 +83,7 @@
 	}
 }
 
-// All targets of a large service ask whichever gateway they turn away.
+// All targets of a large service ask each gateway whose requests they refuse for back-off.
 func TestBackOffOfAllTargetsTakesBoundedTraffic(t *testing.T) {
 	const targets, seconds = 120, 10
 	for _, size := range []int{18, fleetSize(100)} {
@@ -103,8 +105,8 @@
 			fleet.gateways[0].signals.Observe(last, signal.Signals{BackOff: 5 * time.Second})
 			fleet.gateways[1].signals.Observe(last, signal.Signals{BackOff: 5 * time.Second})
 			half, all := untilHalfAndAll(fleet.gateways, holds)
-			fleet.t.Logf("%d gateways: a second and gateway %.0f bytes in %.0f writes; the last known to half after %v, to all after %v", size, inBytes, inWrites, half, all)
-			g.Expect(inBytes).To(BeNumerically("<", 45000), "however large the fleet is")
+			fleet.t.Logf("%d gateways: per second and gateway %.0f bytes in %.0f writes; the last known to half after %v, to all after %v", size, inBytes, inWrites, half, all)
+			g.Expect(inBytes).To(BeNumerically("<", 45000), "independent of the fleet size")
 			g.Expect(inWrites).To(BeNumerically("<", 100))
 			g.Expect(all).To(BeNumerically("<", 1500*time.Millisecond))
 		})
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -47,17 +47,17 @@
 func (f *Follower) staleRead(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 	defer cancel()
-	seen, err := f.options.Source.StaleRead(ctx)
+	stale, err := f.options.Source.StaleRead(ctx)
 	if err != nil {
 		f.options.Metrics.StoreCall(callStaleRead, callFailed)
 		f.options.Log.Info("stale read of the store failed", "error", err.Error())
 		return false
 	}
 	f.options.Metrics.StoreCall(callStaleRead, callAnswered)
-	if seen.Config == nil {
+	if stale.Config == nil {
 		return false
 	}
-	guess, ok := f.completeStaleRead(ctx, seen)
+	guess, ok := f.completeStaleRead(ctx, stale)
 	if ok {
 		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.Guess(guess) })
 	}
@@ -66,8 +66,8 @@
 
 // completeStaleRead adds the stale evacuations and rollouts, where these are followed; ok
 // is false if the result must not be used for serving.
-func (f *Follower) completeStaleRead(ctx context.Context, seen StaleRead) (guess catalog.Guess, ok bool) {
-	guess = catalog.Guess{Version: seen.Config.Version, Body: seen.Config.Body, Targets: ownTargets(seen.Targets)}
+func (f *Follower) completeStaleRead(ctx context.Context, stale StaleRead) (guess catalog.Guess, ok bool) {
+	guess = catalog.Guess{Version: stale.Config.Version, Body: stale.Config.Body, Targets: ownTargets(stale.Targets)}
 	if f.options.Source.followsEvacuations() {
 		evacuations, err := f.options.Source.StaleEvacuations(ctx)
 		if guess.Evacuations = evacuations.Items; err != nil {
--- a/internal/gateway/discovery/updates_test.go
+++ b/internal/gateway/discovery/updates_test.go
@@ -13,17 +13,18 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/quota"
 )
 
-// limitedTarget is a target that names a limit.
+// limitedTarget is a target that advertises a limit.
 var limitedTarget = catalog.Life{ID: "target-1", Born: 1}
 
-// newLimits makes the limits of targets as a gateway knows them that asks nobody for credit.
+// newLimits returns the target limits of a gateway that requests credit from no other
+// gateway.
 func newLimits() *quota.Register {
 	return quota.New(quota.Options{
 		HasLimits: func() bool { return false }, Gateways: func() int { return 1 }, Homes: func(int) []member.Box { return nil },
 	})
 }
 
-// untilLimitKnown is how long it takes until some gateways know a limit.
+// untilLimitKnown returns the time until some gateways know a limit.
 func untilLimitKnown(gateways []*gateway, rate float64) time.Duration {
 	began := time.Now()
 	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return g.limits.TargetRate(limitedTarget) != rate }) {
@@ -32,28 +33,28 @@
 	return time.Since(began)
 }
 
-// A limit that one gateway meets, that moves and that is lifted is known to all at once, and no
-// more is said of it then.
+// A limit that one gateway observes, that changes and that is lifted spreads to all
+// gateways, and causes no further traffic after that.
 func TestTargetLimitReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
 		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
-			rate := func() float64 { // of writes, a second and gateway
+			rate := func() float64 { // of writes per second and gateway
 				writes := fleet.fabric.writes.Load()
 				time.Sleep(5 * time.Second)
 				return float64(fleet.fabric.writes.Load()-writes) / 5 / float64(size)
 			}
 			before := rate()
-			for i, told := range []string{"3", "1.5", ""} {
+			for i, limit := range []string{"3", "1.5", ""} {
 				want := []float64{3, 1.5, 0}[i]
-				fleet.gateways[i].limits.NoteLimit(limitedTarget, corequota.ViaProbe, nonEmpty(told))
+				fleet.gateways[i].limits.NoteLimit(limitedTarget, corequota.ViaProbe, nonEmpty(limit))
 				took := untilLimitKnown(fleet.gateways, want)
-				fleet.t.Logf("%d gateways, limit %q: known everywhere after %v", size, told, took)
+				fleet.t.Logf("%d gateways, limit %q: known everywhere after %v", size, limit, took)
 				g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 				time.Sleep(time.Second)
-				fleet.gateways[2].limits.NoteLimit(limitedTarget, corequota.ViaProbe, nonEmpty(told)) // so that its probes are known to tell limits
+				fleet.gateways[2].limits.NoteLimit(limitedTarget, corequota.ViaProbe, nonEmpty(limit)) // shows that its probes advertise limits
 			}
 			after := rate()
-			fleet.t.Logf("%.0f writes a second and gateway, %.0f before", after, before)
+			fleet.t.Logf("%.0f writes per second and gateway, %.0f before", after, before)
 			g.Expect(after).To(BeNumerically("<", 1.3*before))
 		})
 	}
@@ -66,7 +67,7 @@
 	return []string{value}
 }
 
-// Gateways that were cut off while it was told, or start later, hear of it.
+// Gateways that were cut off while a limit spread, or that start later, receive it, too.
 func TestStartedOrPartitionedGatewayReceivesTargetLimit(t *testing.T) {
 	onFleet(t, fleetSize(30), 2, func(g *WithT, fleet *virtualFleet) {
 		part := fleet.sample(0.3)
