--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -90,8 +90,7 @@
 	WatchWait time.Duration
 	// WatchSlack is how much later than WatchWait its response may arrive.
 	WatchSlack time.Duration
-	// BatchDelay is the pause after an update from the store, during which more may
-	// accumulate.
+	// BatchDelay is the pause after an update from the store, so that more may accumulate.
 	BatchDelay time.Duration
 	// SoloBatchDelay is that pause while no other gateway polls this one for updates.
 	SoloBatchDelay time.Duration
@@ -112,8 +111,7 @@
 	// FirstStart says that the whole fleet starts for the first time: no gateway is serving
 	// yet, so each can wait for the state that the readers obtain.
 	FirstStart bool
-	// Seeds returns the peer addresses of some gateways; they may be out of date. It may be
-	// nil.
+	// Seeds returns addresses of some gateways, which may be out of date. It may be nil.
 	Seeds  func() []string
 	Source Source
 	Decode func(body []byte) (*routing.Table, error)
@@ -122,8 +120,7 @@
 	// WallClock returns a time that other incarnations of gateways can compare with theirs;
 	// nil for time.Now.
 	WallClock func() time.Time
-	// Locality returns the tiers of halls by distance. It may be nil for a fleet of one
-	// region.
+	// Locality returns the tiers of halls by distance; nil for a fleet of one region.
 	Locality func() *locality.Map
 	// Fatal records the requests that terminate targets, which gateways exchange; nil if
 	// nothing here records any.
@@ -156,13 +153,11 @@
 	fresh   *freshness.Tracker
 	// versions holds which versions of each service have been seen in service or on trial.
 	versions *rollout.Versions
-	// withheld says that the targets of some version are not used until the rollouts are
-	// known.
+	// withheld says that targets of some version are unused until the rollouts are known.
 	withheld bool
 	view     *peers.View
 	tries    reader.Tries
-	// packedConfig and packedTargets cache the compressed parts of the catalog that are
-	// sent to other gateways.
+	// packedConfig and packedTargets cache compressed parts of the catalog for sending.
 	packedConfig  packedConfig
 	packedTargets packedTargets
 	// neighbourIDs are the ids of the neighbours by slot, "" for an empty slot.
@@ -179,8 +174,7 @@
 	readerDraw float64
 	// ownTry is this gateway's latest attempt to read the store on behalf of others.
 	ownTry reader.Try
-	// rereads holds when each kind must be read in full again since the store was restored
-	// from an older copy.
+	// rereads holds when each kind must be read in full again after a restore of the store.
 	rereads rereads
 	// saved is the object in the store that holds the quarantined requests.
 	saved saved
