--- a/internal/gateway/rpclink/rpclink.go
+++ b/internal/gateway/rpclink/rpclink.go
@@ -24,30 +24,30 @@
 // Link is a connection to whichever gateway was called last.
 type Link struct {
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	within  time.Duration
+	timeout time.Duration
 	address string
 	client  *rpc.Client
 }
 
 // New makes a link without a connection; within bounds each call, from the making of the
 // connection to the answer.
-func New(dial func(ctx context.Context, network, address string) (net.Conn, error), within time.Duration) *Link {
-	return &Link{dial: dial, within: within}
+func New(dial func(ctx context.Context, network, address string) (net.Conn, error), timeout time.Duration) *Link {
+	return &Link{dial: dial, timeout: timeout}
 }
 
 // Call calls a method at an address and returns its reply, or the zero R with an error: the reply of
 // a call that was given up may still be written to. An error that the other side answered leaves the
 // connection as it is.
 func Call[R any](ctx context.Context, l *Link, address, method string, args any) (R, error) {
-	var reply, none R
+	var reply, zero R
 	if err := l.call(ctx, address, method, args, &reply); err != nil {
-		return none, err
+		return zero, err
 	}
 	return reply, nil
 }
 
 func (l *Link) call(ctx context.Context, address, method string, args, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, l.within)
+	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
 	if err := l.connect(ctx, address); err != nil {
 		if ctx.Err() != nil {
@@ -64,8 +64,8 @@
 		l.Close() // the reply may still be written to
 		return ErrNoAnswer
 	}
-	var answered rpc.ServerError
-	if err != nil && !errors.As(err, &answered) {
+	var serverError rpc.ServerError
+	if err != nil && !errors.As(err, &serverError) {
 		l.Close()
 	}
 	return err
