--- a/internal/gateway/rpclink/rpclink_test.go
+++ b/internal/gateway/rpclink/rpclink_test.go
@@ -14,19 +14,19 @@
 )
 
 // Gateway answers after a time.
-type Gateway struct{ takes time.Duration }
+type Gateway struct{ delay time.Duration }
 
 // Decides replies to any question.
 func (g *Gateway) Decides(_ int, reply *bool) error {
-	time.Sleep(g.takes)
+	time.Sleep(g.delay)
 	*reply = true
 	return nil
 }
 
-func call(t *testing.T, takes time.Duration) (decides bool, err error) {
+func call(t *testing.T, delay time.Duration) (decides bool, err error) {
 	t.Helper()
 	server := rpc.NewServer()
-	if err := server.Register(&Gateway{takes: takes}); err != nil {
+	if err := server.Register(&Gateway{delay: delay}); err != nil {
 		t.Fatal(err)
 	}
 	dial := func(context.Context, string, string) (net.Conn, error) {
@@ -40,13 +40,13 @@
 }
 
 func TestLateReplyIsNotReturned(t *testing.T) {
-	for takes, decides := range map[time.Duration]bool{0: true, 99 * time.Millisecond: true, 101 * time.Millisecond: false} {
-		t.Run(takes.String(), func(t *testing.T) {
+	for delay, inTime := range map[time.Duration]bool{0: true, 99 * time.Millisecond: true, 101 * time.Millisecond: false} {
+		t.Run(delay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				got, err := call(t, takes)
-				g.Expect(got).To(Equal(decides))
-				if decides {
+				got, err := call(t, delay)
+				g.Expect(got).To(Equal(inTime))
+				if inTime {
 					g.Expect(err).NotTo(HaveOccurred())
 				} else {
 					g.Expect(err).To(MatchError(rpclink.ErrNoAnswer))
