--- a/internal/gateway/jsoncall/jsoncall.go
+++ b/internal/gateway/jsoncall/jsoncall.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// maxAnswer bounds one answer, in bytes; an object of the store has a megabyte at most.
-	maxAnswer = 64 << 20
+	// maxResponse bounds one answer, in bytes; an object of the store has a megabyte at most.
+	maxResponse = 64 << 20
 	// connectTimeout bounds the making of a connection. The store answers in
 	// milliseconds.
 	connectTimeout = time.Second
@@ -35,58 +35,58 @@
 	keepAliveProbes = 3
 )
 
-// Caller calls one server.
-type Caller struct {
+// Client calls one server.
+type Client struct {
 	base string
 	http *http.Client
 }
 
 // New makes a caller of the server whose addresses begin with base. It makes no call yet.
-func New(base string) *Caller {
+func New(base string) *Client {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAlive, Interval: keepAlive, Count: keepAliveProbes,
 	}}
-	return &Caller{base: base, http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}}
+	return &Client{base: base, http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}}
 }
 
-// Answer is what came back.
-type Answer struct {
+// Response is what came back.
+type Response struct {
 	status int
 	header http.Header
 }
 
 // Status is the answer's; 0 where there was no whole answer.
-func (a Answer) Status() int { return a.status }
+func (a Response) Status() int { return a.status }
 
 // Header is the value of a header.
-func (a Answer) Header(name string) string { return a.header.Get(name) }
+func (a Response) Header(name string) string { return a.header.Get(name) }
 
 // Call makes one call, with a body unless that is nil, and reads the answer into a value. The
 // error says that there was no whole answer, or one of success that can't be read; another
 // answer is read as far as it goes.
-func (c *Caller) Call(ctx context.Context, method, path string, body, into any) (Answer, error) {
+func (c *Client) Call(ctx context.Context, method, path string, body, into any) (Response, error) {
 	request, err := c.request(ctx, method, path, body)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer func() { _ = response.Body.Close() }() // an error of reading it counts, not of closing
-	raw, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	answer := Answer{status: response.StatusCode, header: response.Header}
-	err = json.Unmarshal(raw, into)
+	answer := Response{status: response.StatusCode, header: response.Header}
+	err = json.Unmarshal(content, into)
 	if err != nil && response.StatusCode < http.StatusMultipleChoices {
 		return answer, fmt.Errorf("an answer with status %d can't be read: %w", response.StatusCode, err)
 	}
 	return answer, nil
 }
 
-func (c *Caller) request(ctx context.Context, method, path string, body any) (*http.Request, error) {
+func (c *Client) request(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	if body == nil {
 		return http.NewRequestWithContext(ctx, method, c.base+path, nil)
 	}
