--- a/internal/gateway/jsoncall/jsoncall.go
+++ b/internal/gateway/jsoncall/jsoncall.go
@@ -1,14 +1,14 @@
-// Package jsoncall makes calls to a server that speaks JSON over HTTP, such as the store.
+// Package jsoncall calls a server that speaks JSON over HTTP, such as the store.
 //
-// It owns the connections, how long one may take to be made, and how soon a path that was
-// cut is noticed. It repeats nothing: a body can't be read again.
+// It owns the connections, the timeout for dialing them, and the keep-alive settings that
+// detect a broken path. It does not retry calls: a request body can't be read twice.
 //
 // # Usage
 //
-//	caller := jsoncall.New("http://10.0.0.9:8000/objects/")
-//	answer, err := caller.Call(ctx, http.MethodGet, "config", nil, &page)
-//	if answer.Status() == http.StatusGone {
-//		// the server's own answer; err says nothing of it
+//	client := jsoncall.New("http://10.0.0.9:8000/objects/")
+//	response, err := client.Call(ctx, http.MethodGet, "config", nil, &page)
+//	if response.Status() == http.StatusGone {
+//		// the server's response; err does not report its status
 //	}
 package jsoncall
 
@@ -24,13 +24,14 @@
 )
 
 const (
-	// maxResponse bounds one answer, in bytes; an object of the store has a megabyte at most.
+	// maxResponse bounds the size of a response, in bytes; an object of the store has at
+	// most a megabyte.
 	maxResponse = 64 << 20
-	// connectTimeout bounds the making of a connection. The store answers in
+	// connectTimeout bounds the dialing of a connection. The store answers within
 	// milliseconds.
 	connectTimeout = time.Second
-	// keepAlive is the pause between two TCP keep-alive probes, and keepAliveProbes how many
-	// may go without an answer: a cut path ends a call that waits within a second.
+	// keepAlive is the pause between two TCP keep-alive probes, and keepAliveProbes how
+	// many may remain unanswered: a broken path ends a waiting call within a second.
 	keepAlive       = 250 * time.Millisecond
 	keepAliveProbes = 3
 )
@@ -41,7 +42,7 @@
 	http *http.Client
 }
 
-// New makes a caller of the server whose addresses begin with base. It makes no call yet.
+// New creates a Client for the server whose URLs begin with base. It makes no call yet.
 func New(base string) *Client {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAlive, Interval: keepAlive, Count: keepAliveProbes,
@@ -49,21 +50,21 @@
 	return &Client{base: base, http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}}
 }
 
-// Response is what came back.
+// Response is the status and header of a response.
 type Response struct {
 	status int
 	header http.Header
 }
 
-// Status is the answer's; 0 where there was no whole answer.
-func (a Response) Status() int { return a.status }
+// Status returns the status code; 0 if there was no complete response.
+func (r Response) Status() int { return r.status }
 
-// Header is the value of a header.
-func (a Response) Header(name string) string { return a.header.Get(name) }
+// Header returns the value of a header.
+func (r Response) Header(name string) string { return r.header.Get(name) }
 
-// Call makes one call, with a body unless that is nil, and reads the answer into a value. The
-// error says that there was no whole answer, or one of success that can't be read; another
-// answer is read as far as it goes.
+// Call makes one call, with a body unless that is nil, and decodes the response into a
+// value. The error says that there was no complete response, or that one of success can't
+// be decoded; any other response is decoded as far as possible.
 func (c *Client) Call(ctx context.Context, method, path string, body, into any) (Response, error) {
 	request, err := c.request(ctx, method, path, body)
 	if err != nil {
@@ -73,17 +74,17 @@
 	if err != nil {
 		return Response{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // an error of reading it counts, not of closing
+	defer func() { _ = response.Body.Close() }() // only errors of reading it matter
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
 		return Response{}, err
 	}
-	answer := Response{status: response.StatusCode, header: response.Header}
+	result := Response{status: response.StatusCode, header: response.Header}
 	err = json.Unmarshal(content, into)
 	if err != nil && response.StatusCode < http.StatusMultipleChoices {
-		return answer, fmt.Errorf("an answer with status %d can't be read: %w", response.StatusCode, err)
+		return result, fmt.Errorf("decoding a response with status %d: %w", response.StatusCode, err)
 	}
-	return answer, nil
+	return result, nil
 }
 
 func (c *Client) request(ctx context.Context, method, path string, body any) (*http.Request, error) {
@@ -94,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Behind a plain reader: net/http would send it again by itself where it can read it again.
+	// A plain reader: with one that it can rewind, net/http would retry by itself.
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, io.NopCloser(bytes.NewReader(raw)))
 	if err != nil {
 		return nil, err
--- a/internal/gateway/rpclink/rpclink.go
+++ b/internal/gateway/rpclink/rpclink.go
@@ -1,7 +1,8 @@
-// Package rpclink is a connection to another gateway for short calls by net/rpc: made when
-// it is needed, kept for the next call, closed when an answer does not come in time.
+// Package rpclink provides a connection to another gateway for short net/rpc calls. It is
+// dialed on demand, reused by the next call, and closed if a reply does not arrive in time.
 //
-// It owns the connection. It repeats nothing. A Link is for one goroutine.
+// The package owns the connection. It does not retry calls. A Link is for use by one
+// goroutine.
 //
 // # Usage
 //
@@ -21,7 +22,7 @@
 // ErrNoAnswer says that the other gateway did not answer in time.
 var ErrNoAnswer = errors.New("the gateway did not answer in time")
 
-// Link is a connection to whichever gateway was called last.
+// Link is a connection to the gateway that was called last.
 type Link struct {
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 	timeout time.Duration
@@ -29,15 +30,15 @@
 	client  *rpc.Client
 }
 
-// New makes a link without a connection; within bounds each call, from the making of the
-// connection to the answer.
+// New creates a Link without a connection. The timeout bounds each call, from dialing to
+// the reply.
 func New(dial func(ctx context.Context, network, address string) (net.Conn, error), timeout time.Duration) *Link {
 	return &Link{dial: dial, timeout: timeout}
 }
 
-// Call calls a method at an address and returns its reply, or the zero R with an error: the reply of
-// a call that was given up may still be written to. An error that the other side answered leaves the
-// connection as it is.
+// Call calls a method at an address and returns its reply, or the zero R with an error,
+// since the reply of an abandoned call may still be written to. An error that the other
+// side returned leaves the connection open.
 func Call[R any](ctx context.Context, l *Link, address, method string, args any) (R, error) {
 	var reply, zero R
 	if err := l.call(ctx, address, method, args, &reply); err != nil {
@@ -71,7 +72,7 @@
 	return err
 }
 
-// connect makes the connection to an address, if it is not there.
+// connect dials an address unless the link is connected to it already.
 func (l *Link) connect(ctx context.Context, address string) error {
 	if l.client != nil && l.address == address {
 		return nil
@@ -85,10 +86,10 @@
 	return nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (l *Link) Close() {
 	if l.client != nil {
-		_ = l.client.Close() // nothing is left to be said on it
+		_ = l.client.Close() // nothing depends on an error here
 	}
 	l.client = nil
 }
--- a/internal/gateway/rpclink/rpclink_test.go
+++ b/internal/gateway/rpclink/rpclink_test.go
@@ -13,10 +13,10 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/rpclink"
 )
 
-// Gateway answers after a time.
+// Gateway replies after a delay.
 type Gateway struct{ delay time.Duration }
 
-// Decides replies to any question.
+// Decides replies to any request.
 func (g *Gateway) Decides(_ int, reply *bool) error {
 	time.Sleep(g.delay)
 	*reply = true
@@ -51,7 +51,7 @@
 				} else {
 					g.Expect(err).To(MatchError(rpclink.ErrNoAnswer))
 				}
-				time.Sleep(time.Second) // the server has answered by then
+				time.Sleep(time.Second) // by then the server has replied
 			})
 		})
 	}
