--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -201,7 +201,7 @@
 func New(o Options) *Follower {
 	o = o.withDefaults()
 	f := &Follower{
-		options: o, started: o.Clock(), catalog: catalog.New(), versions: rollout.NewVersions(), fresh: freshness.New(o.Timing.freshness(), peers.Before),
+		options: o, started: o.Clock(), catalog: catalog.New(), versions: rollout.NewVersions(), fresh: freshness.New(o.Timing.freshness(), peers.RanksBefore),
 		view: peers.New(o.Self, func(n int) int { return int(o.Random() * float64(n)) }), readerDraw: o.Random(),
 		changed: make(chan struct{}), ready: make(chan struct{}), offers: make(chan offer, offerQueueSize), otherRegionOffers: make(chan offer, offerQueueSize),
 		announced: make([]announced, len(o.UpdateKinds)), announceRequests: make(chan struct{}, 1),
--- a/internal/gateway/discovery/draw.go
+++ b/internal/gateway/discovery/draw.go
@@ -43,14 +43,14 @@
 	now := f.options.Clock()
 	f.neighbourIDs[slot] = ""
 	n := &neighbour{slot: slot}
-	if box, ok := f.view.Neighbour(now, f.neighbourScope(now, slot), f.isNeighbour); ok {
+	if box, ok := f.view.PickNeighbour(now, f.neighbourScope(now, slot), f.isNeighbour); ok {
 		f.neighbourIDs[slot] = box.ID
 		n.peer = box
 		n.keepUntil = now.Add(f.keepTime(now) * f.hallFactor(n))
 		return n, true
 	}
 	early := now.Sub(f.started) < time.Duration(slot)*seedStagger
-	if slot > 0 && (early || f.isInitialized() || !f.view.Alone(now)) {
+	if slot > 0 && (early || f.isInitialized() || !f.view.HasNoUsablePeer(now)) {
 		return nil, false
 	}
 	n.peer.Peer = f.nextSeed()
@@ -82,11 +82,11 @@
 
 // neighbourScope returns where to look for a neighbour: one slot links halls and one
 // regions, on some of the gateways only. The lock is held.
-func (f *Follower) neighbourScope(now time.Time, slot int) peers.Where {
+func (f *Follower) neighbourScope(now time.Time, slot int) peers.Scope {
 	switch {
-	case slot == hallLinkSlot && f.view.LinksHalls(now):
+	case slot == hallLinkSlot && f.view.ShouldLinkHalls(now):
 		return peers.OtherHalls
-	case slot == regionLinkSlot && f.view.LinksRegions(now):
+	case slot == regionLinkSlot && f.view.ShouldLinkRegions(now):
 		return peers.OtherRegions
 	default:
 		return peers.OwnHall
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -67,7 +67,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	f.observeSightings(now, reply.Members, f.view.Observe)
+	f.observeSightings(now, reply.Members, f.view.ObserveAnswer)
 	f.fresh.NoteReader(now.Add(-reply.ReaderAge), reply.Reader)
 	f.noteTries(now, reply.Tries)
 	f.mergeUpdates(reply.Fatal, peer.ID)
@@ -97,7 +97,7 @@
 // The lock is held.
 func (f *Follower) comparePosition(now time.Time, peer member.Box, reply *UpdateReply) {
 	theirs := reply.Delta.To
-	if f.catalog.Position().Lacks(theirs) {
+	if f.catalog.Position().IsBehind(theirs) {
 		f.noteOffer(now, offer{peer: peer, at: theirs})
 		return
 	}
@@ -130,7 +130,7 @@
 func (f *Follower) noteTries(now time.Time, tries []reader.Try) {
 	changed := false
 	for _, try := range tries {
-		changed = f.tries.Note(now, try) || changed
+		changed = f.tries.Add(now, try) || changed
 		if try.Failed {
 			f.fresh.NoteFailed(now.Add(-try.Ago))
 		}
--- a/internal/gateway/discovery/export_test.go
+++ b/internal/gateway/discovery/export_test.go
@@ -19,7 +19,7 @@
 func (f *Follower) ObserveSightings(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.observeSightings(f.options.Clock(), sightings, f.view.Observe)
+	f.observeSightings(f.options.Clock(), sightings, f.view.ObserveAnswer)
 }
 
 // DrawNeighbour draws the next neighbour for a slot.
--- a/internal/gateway/discovery/fetch.go
+++ b/internal/gateway/discovery/fetch.go
@@ -91,7 +91,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	lacks := f.catalog.Position().Lacks(o.at)
+	lacks := f.catalog.Position().IsBehind(o.at)
 	args = f.ownStateArgs(now)
 	args.Digest = !lacks
 	return args, lacks || o.fresher && f.fresh.IsOld(now)
--- a/internal/gateway/discovery/heal.go
+++ b/internal/gateway/discovery/heal.go
@@ -41,7 +41,7 @@
 	if f.options.Random() < healSeedShare {
 		return member.Box{Peer: f.nextSeed()}
 	}
-	box, _ := f.view.Lost(f.options.Clock())
+	box, _ := f.view.PickLost(f.options.Clock())
 	return box
 }
 
--- a/internal/gateway/discovery/neighbour.go
+++ b/internal/gateway/discovery/neighbour.go
@@ -98,14 +98,14 @@
 	if n.peer.ID == "" {
 		return n.confirmedAt.IsZero()
 	}
-	return now.Before(n.keepUntil) && !f.view.Avoids(now, n.peer.ID)
+	return now.Before(n.keepUntil) && !f.view.IsAvoided(now, n.peer.ID)
 }
 
 // isAlone reports whether no other gateway is known that may be asked.
 func (f *Follower) isAlone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Alone(f.options.Clock())
+	return f.view.HasNoUsablePeer(f.options.Clock())
 }
 
 // exchange polls a neighbour once and applies its reply. While the poll waits, it pushes to
@@ -139,7 +139,7 @@
 	args := f.ownStateArgs(now)
 	args.Wait, args.Digest = wait, !f.requestsDelta(n.peer)
 	args.AsksFatal, args.FatalAt = true, f.withAllKinds(n.receivedUpdates).String()
-	if args.Digest && args.At.Lacks(n.position) {
+	if args.Digest && args.At.IsBehind(n.position) {
 		args.At = n.position // what is missing here has been requested already
 	}
 	args.Age = min(args.Age, now.Sub(n.confirmedAt))
@@ -185,7 +185,7 @@
 // is held.
 func (f *Follower) hasUpdateFor(now time.Time, n *neighbour) bool {
 	leaving := f.view.Self().Leaving && !n.sentLeaving
-	later := n.position.Lacks(f.catalog.Position())
+	later := n.position.IsBehind(f.catalog.Position())
 	tries := f.tries.Version() != n.sentTriesVersion
 	return leaving || later || tries || f.lacksUpdates(f.withAllKinds(n.sentUpdates)) || f.fresh.Confirms(now, now.Sub(n.confirmedAt))
 }
@@ -225,20 +225,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.options.Metrics.PeerLost()
-	f.view.Fail(f.options.Clock(), peer.ID)
+	f.view.RecordFailure(f.options.Clock(), peer.ID)
 	f.wake() // this gateway may have to read the store now
 	f.options.Log.Info("peer lost", "peer", peer.ID, "address", peer.Peer, "error", err.Error())
 }
 
 // observeSightings adds the gateways that another gateway, the first of the sightings, has
-// seen to the view, and that gateway's own entry by Observe or Called of the view; the lock
-// is held.
+// seen to the view, and that gateway's own entry by ObserveAnswer or ObserveCall of the
+// view; the lock is held.
 func (f *Follower) observeSightings(now time.Time, sightings []peers.Sighting, observe observer) {
 	if len(sightings) == 0 {
 		return
 	}
 	f.observePeer(now, sightings[0].Box, observe)
-	f.view.Sighted(now, sightings[1:])
+	f.view.MergeSightings(now, sightings[1:])
 }
 
 // An observer adds a gateway's own entry to the view and reports whether that gateway is
@@ -247,7 +247,7 @@
 
 // observePeer adds a gateway's own entry to the view; the lock is held.
 func (f *Follower) observePeer(now time.Time, box member.Box, observe observer) {
-	alone := f.view.Alone(now)
+	alone := f.view.HasNoUsablePeer(now)
 	if observe(now, box) {
 		f.options.Log.Info("peer back", "peer", box.ID, "address", box.Peer)
 	}
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -52,7 +52,7 @@
 	}
 	f.apply(fromTarget, func(c *catalog.Catalog) (changed catalog.Changed) {
 		for _, incarnation := range incarnations {
-			changed.Targets = c.Drain(incarnation) || changed.Targets
+			changed.Targets = c.MarkLeaving(incarnation) || changed.Targets
 		}
 		return changed
 	})
@@ -115,7 +115,7 @@
 func (f *Follower) TopRanked(n int) []member.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.First(f.options.Clock(), n)
+	return f.view.TopRanked(f.options.Clock(), n)
 }
 
 // TopRankedSightings returns the gateways of TopRanked as sightings that may be forwarded
@@ -123,21 +123,21 @@
 func (f *Follower) TopRankedSightings(n int) []peers.Sighting {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Ranked(f.options.Clock(), n)
+	return f.view.RankedSightings(f.options.Clock(), n)
 }
 
 // MergeSightings adds the gateways that another gateway has seen to the view.
 func (f *Follower) MergeSightings(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.Sighted(f.options.Clock(), sightings)
+	f.view.MergeSightings(f.options.Clock(), sightings)
 }
 
 // GatewayCount returns the approximate number of gateways, including this one.
 func (f *Follower) GatewayCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view.Size(f.options.Clock())
+	return f.view.EstimateFleetSize(f.options.Clock())
 }
 
 // logTargets logs which targets started and which stopped taking requests with this
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -174,7 +174,7 @@
 		f.options.Metrics.StoreCall(w.name, callFailed)
 		f.setFailing(w, err)
 		f.ownTry.Failed = true
-		if f.tries.Note(now, f.ownTry) {
+		if f.tries.Add(now, f.ownTry) {
 			f.wake() // others need not wait for this one
 		}
 		f.fresh.NoteFailed(now)
--- a/internal/gateway/discovery/region.go
+++ b/internal/gateway/discovery/region.go
@@ -85,7 +85,7 @@
 		delta.Config = body
 	}
 	f.apply(args.From.Peer, func(c *catalog.Catalog) catalog.Changed {
-		if c.Position().Lacks(args.Base) {
+		if c.Position().IsBehind(args.Base) {
 			return catalog.Changed{}
 		}
 		return c.Merge(delta)
--- a/internal/gateway/discovery/role.go
+++ b/internal/gateway/discovery/role.go
@@ -37,8 +37,8 @@
 
 // untilReading returns the time until this gateway has to read the store; the lock is held.
 func (f *Follower) untilReading(now time.Time) time.Duration {
-	return reader.Until(f.readerState(now), reader.Timing{
-		Standby: f.options.Timing.StaleAfter, Alone: f.options.Timing.MayReadAfter, Last: f.options.Timing.MustReadAfter,
+	return reader.UntilRead(f.readerState(now), reader.Timing{
+		Standby: f.options.Timing.StaleAfter, OthersFrom: f.options.Timing.MayReadAfter, OthersBy: f.options.Timing.MustReadAfter,
 	})
 }
 
@@ -47,11 +47,11 @@
 	self := f.options.Self
 	return reader.State{
 		Rank: f.rank(now), Draw: f.readerDraw, FirstStart: f.options.FirstStart,
-		Seed: slices.Contains(f.options.Seeds(), self.Peer), Alone: f.view.Alone(now), Running: now.Sub(f.started),
-		InCompany: f.peerKnownFor(now),
-		Knows:     f.isInitialized(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.lastOfferAt), Age: f.fresh.Age(now),
-		Reads: f.isReader && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
-		HeldFor: f.tries.HeldFor(now, self.ID), TriedFor: f.tries.TriedFor(now, self.ID),
+		Seed: slices.Contains(f.options.Seeds(), self.Peer), HasNoPeers: f.view.HasNoUsablePeer(now), Uptime: now.Sub(f.started),
+		PeersKnownFor: f.peerKnownFor(now),
+		HasState:      f.isInitialized(), Confirmed: f.fresh.Confirmed(), OfferAge: now.Sub(f.lastOfferAt), Age: f.fresh.Age(now),
+		IsReading: f.isReader && !f.fresh.Failing(), OutrankedAge: f.fresh.OutrankedAge(now, self.ID),
+		PendingTriesAge: f.tries.PendingAge(now, self.ID), TriesAge: f.tries.Age(now, self.ID),
 	}
 }
 
@@ -70,7 +70,7 @@
 // it wait; the lock is held.
 func (f *Follower) noteTry(now time.Time) {
 	f.ownTry = reader.Try{ID: f.options.Self.ID, Number: now.UnixNano()}
-	if f.tries.Note(now, f.ownTry) {
+	if f.tries.Add(now, f.ownTry) {
 		f.wake()
 	}
 }
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -117,14 +117,14 @@
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	f.lastAskedAt = now
-	f.observeSightings(now, args.Members, f.view.Called)
+	f.observeSightings(now, args.Members, f.view.ObserveCall)
 	f.noteTries(now, args.Tries)
 	f.mergeUpdates(args.Fatal, args.From.ID)
 	if args.From.ID == "" {
 		return
 	}
-	f.observePeer(now, args.From, f.view.Called)
-	advertised := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().Lacks(args.At)}
+	f.observePeer(now, args.From, f.view.ObserveCall)
+	advertised := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().IsBehind(args.At)}
 	if !advertised.fresher || f.fresh.Age(now) > args.Age {
 		f.noteOffer(now, advertised)
 	}
@@ -172,7 +172,7 @@
 	if !a.FollowsRollouts {
 		position.RolloutsChanged = 0
 	}
-	return a.At.Lacks(position)
+	return a.At.IsBehind(position)
 }
 
 // hasAnswer reports whether there is a reason to reply now: an update, a confirmation of
@@ -183,7 +183,7 @@
 	now := f.options.Clock()
 	lacks := args.lacks(f.catalog.Position())
 	confirms := f.fresh.Confirms(now, agedBy(args.Age, now.Sub(asked)))
-	tries := f.tries.Lacking(now, args.Tries)
+	tries := f.tries.AnyMissingIn(now, args.Tries)
 	updates := args.AsksFatal && f.lacksUpdates(parsePositions(args.FatalAt))
 	return lacks || confirms || tries || updates || f.view.Self().Leaving
 }
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -57,20 +57,20 @@
 	if stale.Config == nil {
 		return false
 	}
-	guess, ok := f.completeStaleRead(ctx, stale)
+	staleCopy, ok := f.completeStaleRead(ctx, stale)
 	if ok {
-		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.Guess(guess) })
+		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.LoadStale(staleCopy) })
 	}
 	return ok
 }
 
 // completeStaleRead adds the stale evacuations and rollouts, where these are followed; ok
 // is false if the result must not be used for serving.
-func (f *Follower) completeStaleRead(ctx context.Context, stale StaleRead) (guess catalog.Guess, ok bool) {
-	guess = catalog.Guess{Version: stale.Config.Version, Body: stale.Config.Body, Targets: ownTargets(stale.Targets)}
+func (f *Follower) completeStaleRead(ctx context.Context, stale StaleRead) (staleCopy catalog.StaleCopy, ok bool) {
+	staleCopy = catalog.StaleCopy{Version: stale.Config.Version, Body: stale.Config.Body, Targets: ownTargets(stale.Targets)}
 	if f.options.Source.followsEvacuations() {
 		evacuations, err := f.options.Source.StaleEvacuations(ctx)
-		if guess.Evacuations = evacuations.Items; err != nil {
+		if staleCopy.Evacuations = evacuations.Items; err != nil {
 			// It serves nevertheless: the evacuations are known before it has to apply them.
 			f.options.Metrics.StoreCall(callStaleRead, callFailed)
 			f.options.Log.Info("stale read of the evacuations failed", "error", err.Error())
@@ -79,11 +79,11 @@
 	if f.options.Source.followsRollouts() {
 		// Without them, a version that is only on trial would be treated as one in service.
 		rollouts, err := f.options.Source.StaleRollouts(ctx)
-		if guess.Rollouts = rollouts.Items; err != nil {
+		if staleCopy.Rollouts = rollouts.Items; err != nil {
 			f.options.Metrics.StoreCall(callStaleRead, callFailed)
 			f.options.Log.Info("stale read of the rollouts failed; the stale state is not used", "error", err.Error())
-			return guess, false
+			return staleCopy, false
 		}
 	}
-	return guess, true
+	return staleCopy, true
 }
