--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -140,8 +140,8 @@
 	g.signals = signals.New(signals.Options{Self: s.ID, Clock: o.Clock, Log: g.log})
 	g.discovery = discovery.New(discovery.Options{
 		Self: self, FirstStart: s.FirstStart, Seeds: func() []string { return g.settings.Load().Seeds },
-		Source: followed(o.Source, s), Decode: g.decode, Timing: timing(s), Places: g.places.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
-		Fatal: g.fatal, LimitsFor: g.quota.SharingLeft, ObserveLimits: g.quota.ExtendSharing, Updates: []discovery.Updates{g.quota.Updates(), g.signals.Updates()},
+		Source: followed(o.Source, s), Decode: g.decode, Timing: timing(s), Locality: g.places.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
+		Fatal: g.fatal, LimitsFor: g.quota.SharingLeft, ObserveLimits: g.quota.ExtendSharing, UpdateKinds: []discovery.UpdateKind{g.quota.Updates(), g.signals.Updates()},
 	})
 	g.quota.OnUpdate(g.discovery.Wake)
 	g.signals.OnUpdate(g.discovery.Wake)
@@ -150,7 +150,7 @@
 	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Room: g.answers, Opened: g.metrics.Opened, Log: g.log})
 	g.forward = forward.New(forward.Options{
 		Names: o.Wire.Headers, Places: g.places.Load, Snapshot: g.discovery.Snapshot, Current: g.discovery.Current,
-		Gateways: g.discovery.Gateways, Fatal: g.fatal, Quota: g.quota, TrustsKeys: g.trustsKeys,
+		Gateways: g.discovery.GatewayCount, Fatal: g.fatal, Quota: g.quota, TrustsKeys: g.trustsKeys,
 		Signals: g.signals, Ready: g.discovery.Ready(), Pool: g.pool, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
 		Retry: forward.Retry{Window: seconds(s.RetryWindow), Ratio: s.RetryRatio},
 	})
@@ -165,10 +165,10 @@
 func (g *Gateway) quotaOptions(self member.Box, tolerance float64) quota.Options {
 	return quota.Options{
 		Self:           self,
-		Homes:          func(n int) []member.Box { return g.discovery.First(n) },
-		Ranked:         func(n int) []peers.Sighting { return g.discovery.Ranked(n) },
-		MergeSightings: func(s []peers.Sighting) { g.discovery.Sighted(s) },
-		FleetSize:      func() int { return g.discovery.Gateways() }, HasLimits: g.hasLimits,
+		Homes:          func(n int) []member.Box { return g.discovery.TopRanked(n) },
+		Ranked:         func(n int) []peers.Sighting { return g.discovery.TopRankedSightings(n) },
+		MergeSightings: func(s []peers.Sighting) { g.discovery.MergeSightings(s) },
+		FleetSize:      func() int { return g.discovery.GatewayCount() }, HasLimits: g.hasLimits,
 		Tolerance: tolerance, Clock: g.options.Clock, Metrics: g.metrics, Log: g.log,
 	}
 }
@@ -218,7 +218,7 @@
 // state is what the metrics show of this moment.
 func (g *Gateway) state() metrics.State {
 	state := metrics.State{
-		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHalls(),
+		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHallCount(),
 		AnswerBytes: g.answers.Held(), Quarantined: g.fatal.Quarantined(), LimitedTargets: g.quota.LimitedTargets(),
 		FarServices: g.forward.FarServices(), Trips: g.forward.Trips(),
 		BackingOff: len(g.signals.BackOffs()), Leaving: g.discovery.Snapshot().Leaving(),
--- a/internal/gateway/delivery/decide.go
+++ b/internal/gateway/delivery/decide.go
@@ -51,7 +51,7 @@
 }
 
 // nextWrite returns the write that a rollout needs now, if any, and marks it as in flight.
-func (d *Delivery) nextWrite(service string, standing discovery.Standing, peers []string) (write, bool) {
+func (d *Delivery) nextWrite(service string, standing discovery.VersionTargets, peers []string) (write, bool) {
 	now := d.options.Clock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,7 +102,7 @@
 }
 
 // state returns the input of a decision; the lock is held.
-func (d *Delivery) state(now time.Time, c *trackedRollout, standing discovery.Standing, peers []string) rollout.State {
+func (d *Delivery) state(now time.Time, c *trackedRollout, standing discovery.VersionTargets, peers []string) rollout.State {
 	reachable := c.reachable(now, peers)
 	return rollout.State{
 		Order: c.order, Limits: d.options.Limits,
--- a/internal/gateway/delivery/delivery.go
+++ b/internal/gateway/delivery/delivery.go
@@ -80,14 +80,14 @@
 	Peers func() []string
 	// Standing returns the versions and the numbers of a service's targets with respect to
 	// a rollout.
-	Standing func(r catalog.Rollout) discovery.Standing
+	Standing func(r catalog.Rollout) discovery.VersionTargets
 	// Decide returns what to do with a rollout; nil means rollout.Decide.
 	Decide func(s rollout.State) rollout.Decision
 	// Reports returns this process's own counts for each of the given rollouts, which are
 	// all active ones; the counts for others are dropped.
 	Reports func(rollouts []catalog.Rollout) []rollout.Report
 	// Record is discovery.Source.RecordRollout.
-	Record func(ctx context.Context, r catalog.Rollout) (discovery.Record, error)
+	Record func(ctx context.Context, r catalog.Rollout) (discovery.RecordResult, error)
 	Clock  func() time.Time
 	// Metrics may be nil.
 	Metrics *metrics.Metrics
--- a/internal/gateway/delivery/log.go
+++ b/internal/gateway/delivery/log.go
@@ -11,13 +11,13 @@
 }
 
 // logWrite logs how a write ended, and the evidence for its decision.
-func (d *Delivery) logWrite(w write, record discovery.Record, err error) {
+func (d *Delivery) logWrite(w write, record discovery.RecordResult, err error) {
 	r := w.rollout
 	common := []any{"service", r.Service, "version", r.Version, "state", r.State.String(), "permille", r.Permille, "age_s", r.Elapsed.Seconds()}
 	switch {
-	case record.End != discovery.RecordDone:
+	case record.Outcome != discovery.RecordDone:
 		// The write may still be done, in which case the evidence must be in the log.
-		end := append(common, "end", endName(record.End), "revision", r.Revision, "error", errorText(err))
+		end := append(common, "end", endName(record.Outcome), "revision", r.Revision, "error", errorText(err))
 		d.options.Log.Info("rollout not recorded", append(end, evidenceAttrs(w.decision)...)...)
 	case w.isTakeover():
 		d.options.Log.Info("rollout taken over", append(common, "from", w.before.Decider)...)
--- a/internal/gateway/delivery/record.go
+++ b/internal/gateway/delivery/record.go
@@ -90,13 +90,13 @@
 	now := d.options.Clock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.options.Metrics.RolloutWrite(endName(record.End))
+	d.options.Metrics.RolloutWrite(endName(record.Outcome))
 	d.logWrite(w, record, err)
 	c, ok := d.tracked[w.rollout.Service]
 	if !ok || c.order.Version != w.rollout.Version {
 		return // the order was replaced
 	}
-	if record.End == discovery.RecordDone && w.isTakeover() {
+	if record.Outcome == discovery.RecordDone && w.isTakeover() {
 		c.lastTakeover = now
 		c.takeovers++
 	}
@@ -108,7 +108,7 @@
 		return // a later revision was seen already
 	}
 	pause := settleTimeout
-	if record.End != discovery.RecordDone {
+	if record.Outcome != discovery.RecordDone {
 		pause = c.writes.nextRetryDelay()
 	}
 	c.writes.end(now, w.rollout.State, pause)
@@ -118,7 +118,7 @@
 func (w write) isTakeover() bool { return w.decision.Action == rollout.Wait }
 
 // endName returns the name of a write's result in log lines and metrics.
-func endName(end discovery.RecordEnd) string {
+func endName(end discovery.RecordOutcome) string {
 	switch end {
 	case discovery.RecordDone:
 		return "done"
--- a/internal/gateway/delivery/simulation_test.go
+++ b/internal/gateway/delivery/simulation_test.go
@@ -146,8 +146,8 @@
 	return g
 }
 
-func standing(catalog.Rollout) discovery.Standing {
-	return discovery.Standing{OnTrial: true, Baseline: 3, Canary: 3, Warm: 3}
+func standing(catalog.Rollout) discovery.VersionTargets {
+	return discovery.VersionTargets{OnTrial: true, Baseline: 3, Canary: 3, Warm: 3}
 }
 
 // decideByCounts advances the stage each second, once all gateways report the stage, and
@@ -380,20 +380,20 @@
 }
 
 // write performs a conditional write in the store.
-func (w *fleetSimulation) write(r catalog.Rollout) (discovery.Record, error) {
+func (w *fleetSimulation) write(r catalog.Rollout) (discovery.RecordResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now, ok := w.objects[r.Service]
 	if !ok || now.Revision != r.Revision {
-		return discovery.Record{End: discovery.RecordRefused, Rollout: &now}, errors.New("another revision")
+		return discovery.RecordResult{Outcome: discovery.RecordRefused, Rollout: &now}, errors.New("another revision")
 	}
 	r = w.putLocked(r)
 	w.written = append(w.written, r)
-	return discovery.Record{End: discovery.RecordDone, Rollout: &r}, nil
+	return discovery.RecordResult{Outcome: discovery.RecordDone, Rollout: &r}, nil
 }
 
 // record performs a gateway's write.
-func (g *gateway) record(ctx context.Context, r catalog.Rollout) (discovery.Record, error) {
+func (g *gateway) record(ctx context.Context, r catalog.Rollout) (discovery.RecordResult, error) {
 	w := g.fleet
 	g.waitWhileFrozen()
 	w.writeAttempts.Add(1)
@@ -403,26 +403,26 @@
 	g.mu.Unlock()
 	if cut {
 		time.Sleep(time.Second)
-		return discovery.Record{}, errUnavailable
+		return discovery.RecordResult{}, errUnavailable
 	}
 	w.mu.Lock()
 	before, after := w.beforeWrite, w.afterWrite
 	w.mu.Unlock()
 	if before != nil {
 		if err := before(g, r); errors.Is(err, errRejected) {
-			return discovery.Record{End: discovery.RecordRefused}, err
+			return discovery.RecordResult{Outcome: discovery.RecordRefused}, err
 		} else if err != nil {
-			return discovery.Record{}, err
+			return discovery.RecordResult{}, err
 		}
 	}
 	g.waitWhileFrozen()
 	if ctx.Err() != nil {
-		return discovery.Record{}, ctx.Err() // killed before it was sent
+		return discovery.RecordResult{}, ctx.Err() // killed before it was sent
 	}
 	record, err := w.write(r)
 	g.waitWhileFrozen()
 	if after != nil && after(g) != nil {
-		return discovery.Record{}, errUnavailable
+		return discovery.RecordResult{}, errUnavailable
 	}
 	return record, err
 }
--- a/internal/gateway/discovery/calls.go
+++ b/internal/gateway/discovery/calls.go
@@ -10,8 +10,8 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-// errRestoring says that targets were read too soon after an outage of the store:
-// entries that lapsed meanwhile are being made again.
+// errRestoring says that targets were read too soon after an outage of the store: entries
+// that expired meanwhile are still being written again.
 var errRestoring = errors.New("the entries of targets are being restored after an outage of the store")
 
 // callConfig makes one call for the configuration.
@@ -34,7 +34,7 @@
 	if whole || from == 0 {
 		return f.options.Source.Config(ctx)
 	}
-	return f.options.Source.WatchConfig(ctx, from, f.waitFor(f.fresh.Config()))
+	return f.options.Source.WatchConfig(ctx, from, f.watchWait(f.fresh.Config()))
 }
 
 // callTargets makes one call for the targets.
@@ -50,8 +50,7 @@
 	return nil
 }
 
-// targetsUpdate reads the targets, or what has changed of them, and returns how
-// the catalog takes it in.
+// targetsUpdate reads the targets, or their changes, and returns the change to the catalog.
 func (f *Follower) targetsUpdate(ctx context.Context, whole bool) (change, error) {
 	from := f.position().Targets
 	if whole || from == 0 || f.mustReread(&f.rereads.targets) {
@@ -60,14 +59,15 @@
 			return catalog.Changed{Targets: c.Replace(list.Revision, ownTargets(list.Items))}
 		}, err
 	}
-	changes, err := f.options.Source.WatchTargets(ctx, from, f.waitFor(f.fresh.Targets()))
+	changes, err := f.options.Source.WatchTargets(ctx, from, f.watchWait(f.fresh.Targets()))
 	return func(c *catalog.Catalog) catalog.Changed {
 		return catalog.Changed{Targets: c.Advance(changes.Revision, ownChanges(changes.Items, catalog.ReportStarts(c.Targets())))}
 	}, err
 }
 
-// ownTargets are those that wrote their entries themselves: where targets report when they
-// started, an entry that does not is another writer's and names no target.
+// ownTargets returns the targets that wrote their entries themselves: where targets report
+// when they started, an entry without a start time is from another writer and does not
+// describe a target.
 func ownTargets(targets []catalog.Target) []catalog.Target {
 	if !catalog.ReportStarts(targets) {
 		return targets
@@ -75,8 +75,8 @@
 	return slices.DeleteFunc(slices.Clone(targets), func(t catalog.Target) bool { return t.Born == 0 })
 }
 
-// ownChanges has targets gone whose entry another writer has overwritten, where targets
-// report when they started.
+// ownChanges marks targets as gone whose entry another writer has overwritten, where
+// targets report when they started.
 func ownChanges(changes []catalog.Change, reportStarts bool) []catalog.Change {
 	if !reportStarts {
 		return changes
@@ -88,8 +88,8 @@
 	return changes
 }
 
-// callEvacuations makes one call for the evacuations. They don't lapse in an outage, so
-// that they are read at once after it.
+// callEvacuations makes one call for the evacuations. They don't expire during an outage,
+// so they are read immediately after it.
 func (f *Follower) callEvacuations(ctx context.Context, whole bool) error {
 	update, err := f.evacuationsUpdate(ctx, whole)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// evacuationsUpdate reads the evacuations, or what has changed of them, and returns how
-// the catalog takes it in.
+// evacuationsUpdate reads the evacuations, or their changes, and returns the change to the
+// catalog.
 func (f *Follower) evacuationsUpdate(ctx context.Context, whole bool) (change, error) {
 	from := f.position().Evacuations
 	if whole || from == 0 || f.mustReread(&f.rereads.evacuations) {
@@ -109,14 +109,14 @@
 			return catalog.Changed{Evacuations: c.ReplaceEvacuations(list.Revision, list.Items)}
 		}, err
 	}
-	changes, err := f.options.Source.WatchEvacuations(ctx, from, f.waitFor(f.fresh.Evacuations()))
+	changes, err := f.options.Source.WatchEvacuations(ctx, from, f.watchWait(f.fresh.Evacuations()))
 	return func(c *catalog.Catalog) catalog.Changed {
 		return catalog.Changed{Evacuations: c.AdvanceEvacuations(changes.Revision, changes.Items)}
 	}, err
 }
 
-// callRollouts makes one call for the rollouts. Like evacuations they don't lapse in an
-// outage.
+// callRollouts makes one call for the rollouts. Like evacuations, they don't expire during
+// an outage.
 func (f *Follower) callRollouts(ctx context.Context, whole bool) error {
 	update, err := f.rolloutsUpdate(ctx, whole)
 	if err != nil {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// rolloutsUpdate reads the rollouts, or what has changed of them, and returns how the
-// catalog takes it in.
+// rolloutsUpdate reads the rollouts, or their changes, and returns the change to the
+// catalog.
 func (f *Follower) rolloutsUpdate(ctx context.Context, whole bool) (change, error) {
 	from := f.position().Rollouts
 	if whole || from == 0 || f.mustReread(&f.rereads.rollouts) {
@@ -136,14 +136,14 @@
 			return catalog.Changed{Rollouts: c.ReplaceRollouts(list.Revision, list.Items)}
 		}, err
 	}
-	changes, err := f.options.Source.WatchRollouts(ctx, from, f.waitFor(f.fresh.Rollouts()))
+	changes, err := f.options.Source.WatchRollouts(ctx, from, f.watchWait(f.fresh.Rollouts()))
 	return func(c *catalog.Catalog) catalog.Changed {
 		return catalog.Changed{Rollouts: c.AdvanceRollouts(changes.Revision, changes.Items)}
 	}, err
 }
 
-// noteAnswer notes the store's return, if this answer is it, and says whether
-// entries of targets are still being restored.
+// noteAnswer records the store's return, if this is its first response after an outage, and
+// reports whether the entries of targets are still being restored.
 func (f *Follower) noteAnswer() (restoring bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,34 +152,34 @@
 	return f.fresh.UntilRestored(now, f.restoreDelay(now)) > 0
 }
 
-// noteReturn notes, and logs, the first answer of the store after an outage; the
-// lock is held.
+// noteReturn records, and logs, the first response of the store after an outage; the lock
+// is held.
 func (f *Follower) noteReturn(now time.Time) {
-	away := f.fresh.Age(now)
+	unreachableFor := f.fresh.Age(now)
 	if f.fresh.RecordReturn(now, f.knowsTargets()) {
-		f.options.Log.Info("store back after an outage", "away_s", away.Seconds(), "targets_read_in_s", f.restoreDelay(now).Seconds())
+		f.options.Log.Info("store back after an outage", "away_s", unreachableFor.Seconds(), "targets_read_in_s", f.restoreDelay(now).Seconds())
 	}
 }
 
-// untilTargets is how long the targets should not be read; the lock is held.
-func (f *Follower) untilTargets(now time.Time) time.Duration {
+// untilTargetsDue returns for how long the targets should not be read; the lock is held.
+func (f *Follower) untilTargetsDue(now time.Time) time.Duration {
 	if left := f.fresh.UntilRestored(now, f.restoreDelay(now)); left > 0 {
 		return left
 	}
 	return f.untilConfigAnswers(now)
 }
 
-// untilConfigAnswers is how long the other watches make no call since that of the
-// configuration fails; the lock is held.
+// untilConfigAnswers returns for how long the other watches make no call because the call
+// for the configuration fails; the lock is held.
 func (f *Follower) untilConfigAnswers(time.Time) time.Duration {
 	if f.fresh.Config().Failing() {
-		return maxLook
+		return maxRoleCheckInterval
 	}
 	return 0
 }
 
-// restoreDelay is how long after the store's return this gateway reads the
-// targets; the lock is held.
+// restoreDelay returns how long after the store's return this gateway reads the targets;
+// the lock is held.
 func (f *Follower) restoreDelay(now time.Time) time.Duration {
-	return reader.RestoreDelay(f.rank(now), f.options.Timing.Restore)
+	return reader.RestoreDelay(f.rank(now), f.options.Timing.RestoreWithin)
 }
--- a/internal/gateway/discovery/delivery_test.go
+++ b/internal/gateway/discovery/delivery_test.go
@@ -18,17 +18,18 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// carried counts what the reports of a fleet take on the network, and what they say.
-type carried struct {
+// reportTraffic counts the bytes and writes of a fleet's rollout reports, and sets what
+// they report.
+type reportTraffic struct {
 	bytes   atomic.Int64
 	writes  atomic.Int64
-	failing atomic.Bool // sends to the ordered version fail
+	failing atomic.Bool // requests to the ordered version fail
 }
 
-// stageFor is how long a stage lasts in these tests.
-const stageFor = 3 * time.Second
+// stageDuration is how long a stage lasts in these tests.
+const stageDuration = 3 * time.Second
 
-// decideByTime goes from stage to stage and rolls back at the fiftieth failure.
+// decideByTime advances from stage to stage by time and rolls back at the fiftieth failure.
 func decideByTime(s rollout.State) rollout.Decision {
 	next := map[int]int{0: 20, 20: 130, 130: 400, 400: 1000}[s.Order.Permille]
 	switch {
@@ -38,38 +39,38 @@
 		return rollout.Decision{Action: rollout.Advance, Permille: next}
 	case s.Order.Permille == 1000 && len(s.Behind) == 0:
 		return rollout.Decision{Action: rollout.Complete, Reason: rollout.ReasonTrafficShifted}
-	case s.Order.Permille < 1000 && s.StageAge >= stageFor:
+	case s.Order.Permille < 1000 && s.StageAge >= stageDuration:
 		return rollout.Decision{Action: rollout.Advance, Permille: next}
 	}
 	return rollout.Decision{}
 }
 
-// carriesOut makes the gateways of a fleet carry rollouts out, as if each sent eight
+// addDelivery makes the gateways of a fleet carry out rollouts, as if each sent eight
 // requests a second of four routes.
-func carriesOut(f *bigFleet, c *carried) {
-	f.beside = func(ctx context.Context, g *gateway, self member.Box) []discovery.Service {
+func addDelivery(f *virtualFleet, c *reportTraffic) {
+	f.extraServices = func(ctx context.Context, g *gateway, self member.Box) []discovery.Service {
 		began := time.Now()
 		dial := f.fabric.dialFrom(self.Peer)
-		source := g.access.rollingOut()
+		source := g.access.sourceWithRollouts()
 		d := delivery.New(delivery.Options{
-			Self: self, Rollouts: g.Rollouts, Changed: g.Changed, Age: g.Age, Reads: g.Reads,
-			Leaving: func() bool { return false }, Peers: g.Peers, Standing: g.Standing,
+			Self: self, Rollouts: g.Rollouts, Changed: g.Changed, Age: g.Age, Reads: g.ReadsStore,
+			Leaving: func() bool { return false }, Peers: g.Peers, Standing: g.VersionTargets,
 			Decide: decideByTime, Record: source.RecordRollout, Log: slog.New(slog.NewTextHandler(g.log, nil)),
 			Reports: func(running []catalog.Rollout) []rollout.Report { return c.reports(running, time.Since(began)) },
 			Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
-				return &countedConn{Conn: conn, carried: c}, err
+				return &countedConn{Conn: conn, traffic: c}, err
 			},
 		})
-		for _, duty := range d.Tasks() {
-			go func() { _ = duty(ctx) }()
+		for _, task := range d.Tasks() {
+			go func() { _ = task(ctx) }()
 		}
 		return []discovery.Service{d.Service()}
 	}
 }
 
-// reports are those of one gateway that has run for some time.
-func (c *carried) reports(running []catalog.Rollout, ran time.Duration) []rollout.Report {
+// reports returns the reports of a gateway that has run for some time.
+func (c *reportTraffic) reports(running []catalog.Rollout, ran time.Duration) []rollout.Report {
 	var out []rollout.Report
 	for _, r := range running {
 		report := rollout.Report{Service: r.Service, Version: r.Version, Permille: r.Permille}
@@ -88,39 +89,39 @@
 	return out
 }
 
-// countedConn counts what passes a connection, both ways.
+// countedConn counts the bytes and writes of a connection.
 type countedConn struct {
 	net.Conn
-	carried *carried
+	traffic *reportTraffic
 }
 
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.carried.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(p []byte) (int, error) {
-	c.carried.bytes.Add(int64(len(p)))
-	c.carried.writes.Add(1)
+	c.traffic.bytes.Add(int64(len(p)))
+	c.traffic.writes.Add(1)
 	return c.Conn.Write(p)
 }
 
-// carryOut runs f on a fleet that carries rollouts out.
-func carryOut(t *testing.T, size int, f func(g *WithT, fleet *bigFleet, c *carried)) {
+// onFleetWithDelivery runs f on a fleet that carries out rollouts.
+func onFleetWithDelivery(t *testing.T, size int, f func(g *WithT, fleet *virtualFleet, c *reportTraffic)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &carried{}
-		fleet := &bigFleet{t: t, fabric: newFabric(), store: newFilledStore(), source: (*access).rollingOut}
-		carriesOut(fleet, c)
-		fleet.begin(size)
+		c := &reportTraffic{}
+		fleet := &virtualFleet{t: t, fabric: newFabric(), store: newFilledStore(), source: (*access).sourceWithRollouts}
+		addDelivery(fleet, c)
+		fleet.startAll(size)
 		defer time.Sleep(10 * time.Second) // until all goroutines of the bubble have ended
 		defer fleet.stopAll()
 		f(NewWithT(t), fleet, c)
 	})
 }
 
-// rolloutEnds waits until an order has its verdict, and how long that took.
-func (f *bigFleet) rolloutEnds() (catalog.Rollout, time.Duration) {
+// awaitRolloutEnd waits until an order is in a final state, and returns how long that took.
+func (f *virtualFleet) awaitRolloutEnd() (catalog.Rollout, time.Duration) {
 	began := time.Now()
 	for time.Since(began) < 30*time.Second && !f.rollout().State.Final() {
 		time.Sleep(time.Millisecond)
@@ -128,39 +129,39 @@
 	return f.rollout(), time.Since(began)
 }
 
-func (f *bigFleet) rollout() catalog.Rollout {
+func (f *virtualFleet) rollout() catalog.Rollout {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	return f.store.rollouts["shop"]
 }
 
-func TestARolloutOfAFleetCostsLittle(t *testing.T) {
+func TestRolloutTrafficIsBounded(t *testing.T) {
 	for _, size := range []int{3, fleetSize(106)} {
-		carryOut(t, size, func(g *WithT, fleet *bigFleet, c *carried) {
+		onFleetWithDelivery(t, size, func(g *WithT, fleet *virtualFleet, c *reportTraffic) {
 			fleet.store.rolloutCalls.Store(0)
 			fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
-			r, took := fleet.rolloutEnds()
+			r, took := fleet.awaitRolloutEnd()
 			g.Expect(r.State).To(Equal(catalog.RolloutCompleted))
 			time.Sleep(time.Second)
 			calls, seconds, gateways := fleet.store.rolloutCalls.Load(), took.Seconds(), float64(size)
 			bytes, writes := float64(c.bytes.Load()), float64(c.writes.Load())
-			t.Logf("%d gateways: completed after %v, %d calls to the store; a second and gateway: %.1f messages, %.0f bytes; at the decider %.0f messages, %.1f kB a second",
+			t.Logf("%d gateways: completed after %v, %d calls to the store; per second and gateway: %.1f messages, %.0f bytes; at the decider %.0f messages, %.1f kB per second",
 				size, took, calls, writes/seconds/gateways, bytes/seconds/gateways, writes/seconds, bytes/seconds/1000)
 			g.Expect(calls).To(BeNumerically("<", 20))
 			g.Expect(writes/seconds/gateways).To(BeNumerically("<", 6), "one report each interval")
-			stages := 5 * gateways / seconds // each is reported at once
-			g.Expect(writes/seconds).To(BeNumerically("<", 1000+stages), "however large the fleet is")
+			stages := 5 * gateways / seconds // each change of stage is reported at once
+			g.Expect(writes/seconds).To(BeNumerically("<", 1000+stages), "independent of the fleet size")
 			g.Expect(bytes / seconds / gateways).To(BeNumerically("<", 2000))
-			g.Expect(took).To(BeNumerically("<", 14*time.Second), "four stages of 3 s, and the way")
+			g.Expect(took).To(BeNumerically("<", 14*time.Second), "four stages of 3 s and the propagation")
 		})
 	}
 }
 
-func TestABadVersionIsStoppedThoughTheDeciderIsKilled(t *testing.T) {
-	carryOut(t, fleetSize(60), func(g *WithT, fleet *bigFleet, c *carried) {
+func TestFailingVersionIsRolledBackAfterDeciderIsKilled(t *testing.T) {
+	onFleetWithDelivery(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *reportTraffic) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		g.Expect(fleet.untilShare(fleet.gateways, 130)).To(BeNumerically("<", 5*time.Second))
-		readers := thatReadNow(fleet.gateways)
+		readers := readersByLog(fleet.gateways)
 		for _, gw := range readers {
 			gw.kill()
 		}
@@ -168,7 +169,7 @@
 		began := time.Now()
 		bound := without(fleet.gateways, readers)
 		took := fleet.untilShare(bound, 0)
-		r, _ := fleet.rolloutEnds()
+		r, _ := fleet.awaitRolloutEnd()
 		t.Logf("rolled back by %s, in force everywhere after %v", r.Decider, time.Since(began))
 		g.Expect(r.State).To(Equal(catalog.RolloutRolledBack))
 		g.Expect(took).To(BeNumerically("<", 3*time.Second))
@@ -176,15 +177,15 @@
 	})
 }
 
-func TestAPartThatIsCutOffWithTheDeciderEndsTheRolloutOnce(t *testing.T) {
-	carryOut(t, fleetSize(60), func(g *WithT, fleet *bigFleet, c *carried) {
+func TestPartitionWithDeciderRollsBackOnBothSides(t *testing.T) {
+	onFleetWithDelivery(t, fleetSize(60), func(g *WithT, fleet *virtualFleet, c *reportTraffic) {
 		fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Within: 20 * time.Second})
 		fleet.untilShare(fleet.gateways, 130)
-		part := append(fleet.share(0.5), thatReadNow(fleet.gateways)...)
+		part := append(fleet.sample(0.5), readersByLog(fleet.gateways)...)
 		fleet.cutOff(part, false)
 		c.failing.Store(true)
 		took := fleet.untilShare(fleet.gateways, 0)
-		r, _ := fleet.rolloutEnds()
+		r, _ := fleet.awaitRolloutEnd()
 		t.Logf("in force on both sides after %v, %d calls", took, fleet.store.rolloutCalls.Load())
 		g.Expect(r.State).To(Equal(catalog.RolloutRolledBack))
 		g.Expect(took).To(BeNumerically("<", 4*time.Second))
--- a/internal/gateway/discovery/discovery_test.go
+++ b/internal/gateway/discovery/discovery_test.go
@@ -29,7 +29,8 @@
 
 var errDown = errors.New("the store is down")
 
-// fakeStore holds a configuration and targets and wakes watches.
+// fakeStore holds a configuration, targets, evacuations and rollouts, and wakes watches at
+// each change.
 type fakeStore struct {
 	mu          sync.Mutex
 	revision    uint64
@@ -40,22 +41,22 @@
 	evacuations []catalog.EvacuationChange
 	rollouts    map[string]catalog.Rollout
 	rolloutLog  []catalog.RolloutChange
-	// rolloutCalls counts the writes of rollouts, and the watches that told of a change.
-	rolloutCalls atomic.Int32
-	configAt     uint64
-	body         string // of the configuration; empty for its version
-	floor        uint64
-	woken        chan struct{}
-	calls        atomic.Int32
-	staleReads   atomic.Int32  // among the calls
-	delay        time.Duration // before each call is looked at
+	// rolloutCalls counts the writes of rollouts, and the watches that reported a change.
+	rolloutCalls   atomic.Int32
+	configAt       uint64
+	body           string // of the configuration; if empty, the body is its version
+	oldestRevision uint64
+	woken          chan struct{}
+	calls          atomic.Int32
+	staleReads     atomic.Int32  // included in calls
+	delay          time.Duration // before each call is served
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{targets: map[string]catalog.Target{}, evacuated: map[string]bool{}, rollouts: map[string]catalog.Rollout{}, woken: make(chan struct{}), revision: 1}
 }
 
-// newFilledStore holds version 1 of a configuration and one target.
+// newFilledStore returns a store with version 1 of a configuration and one target.
 func newFilledStore() *fakeStore {
 	s := newFakeStore()
 	s.setConfig(1)
@@ -91,22 +92,22 @@
 	})
 }
 
-// forget drops the history, as after a compaction.
+// forget drops the history, as a compaction does.
 func (s *fakeStore) forget() {
-	s.change(func() { s.floor, s.changes, s.evacuations, s.rolloutLog = s.revision, nil, nil, nil })
+	s.change(func() { s.oldestRevision, s.changes, s.evacuations, s.rolloutLog = s.revision, nil, nil, nil })
 }
 
-// access is one gateway's way to the store, which a test can cut.
+// access is one gateway's connection to the store, which a test can interrupt.
 type access struct {
-	store  *fakeStore
-	down   atomic.Bool // calls fail at once
-	silent atomic.Bool // calls get no answer
-	way    time.Duration
+	store   *fakeStore
+	down    atomic.Bool // calls fail immediately
+	silent  atomic.Bool // calls get no response
+	latency time.Duration
 }
 
-func (a *access) reach(ctx context.Context) error {
+func (a *access) call(ctx context.Context) error {
 	a.store.calls.Add(1)
-	time.Sleep(a.way + a.store.delay)
+	time.Sleep(a.latency + a.store.delay)
 	if a.silent.Load() {
 		<-ctx.Done()
 		return ctx.Err()
@@ -117,10 +118,10 @@
 	return nil
 }
 
-// await waits until something happens after from; the store's lock is held when
-// it returns without an error.
-func (a *access) await(ctx context.Context, from uint64, wait time.Duration) error {
-	if err := a.reach(ctx); err != nil {
+// awaitChange waits until the store's revision is later than from or the wait is over; the
+// store's lock is held when it returns without an error.
+func (a *access) awaitChange(ctx context.Context, from uint64, wait time.Duration) error {
+	if err := a.call(ctx); err != nil {
 		return err
 	}
 	s := a.store
@@ -133,7 +134,7 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		if from < s.floor {
+		if from < s.oldestRevision {
 			s.mu.Unlock()
 			return discovery.ErrGone
 		}
@@ -168,7 +169,7 @@
 func (a *access) source() discovery.Source {
 	return discovery.Source{
 		Config: func(ctx context.Context) (discovery.Newest[discovery.ConfigObject], error) {
-			if err := a.reach(ctx); err != nil {
+			if err := a.call(ctx); err != nil {
 				return discovery.Newest[discovery.ConfigObject]{}, err
 			}
 			a.store.mu.Lock()
@@ -176,14 +177,14 @@
 			return a.latest(0), nil
 		},
 		WatchConfig: func(ctx context.Context, from uint64, wait time.Duration) (discovery.Newest[discovery.ConfigObject], error) {
-			if err := a.await(ctx, from, wait); err != nil {
+			if err := a.awaitChange(ctx, from, wait); err != nil {
 				return discovery.Newest[discovery.ConfigObject]{}, err
 			}
 			defer a.store.mu.Unlock()
 			return a.latest(from), nil
 		},
 		Targets: func(ctx context.Context) (discovery.List[catalog.Target], error) {
-			if err := a.reach(ctx); err != nil {
+			if err := a.call(ctx); err != nil {
 				return discovery.List[catalog.Target]{}, err
 			}
 			a.store.mu.Lock()
@@ -196,7 +197,7 @@
 		},
 		StaleRead: func(ctx context.Context) (discovery.StaleRead, error) {
 			a.store.staleReads.Add(1)
-			if err := a.reach(ctx); err != nil {
+			if err := a.call(ctx); err != nil {
 				return discovery.StaleRead{}, err
 			}
 			a.store.mu.Lock()
@@ -207,9 +208,9 @@
 			}
 			return staleRead, nil
 		},
-		Ping: a.reach,
+		Ping: a.call,
 		WatchTargets: func(ctx context.Context, from uint64, wait time.Duration) (discovery.Changes[catalog.Change], error) {
-			if err := a.await(ctx, from, wait); err != nil {
+			if err := a.awaitChange(ctx, from, wait); err != nil {
 				return discovery.Changes[catalog.Change]{}, err
 			}
 			defer a.store.mu.Unlock()
@@ -224,40 +225,40 @@
 	}
 }
 
-// lines keeps log lines for a test to look at.
-type lines struct {
+// logBuffer keeps log lines for inspection by a test.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// gateway is one feed with its listener and its access to the store.
+// gateway is one Follower with its listener and its access to the store.
 type gateway struct {
 	*discovery.Follower
-	access   *access
-	log      *lines
-	listener net.Listener
-	stop     context.CancelFunc
-	fatal    *fatal.Register // nil where a test does not look at it
-	limits   *quota.Limiter  // likewise
-	signals  *signals.Registry
-	slept    atomic.Int64 // for how long its machine was suspended
-	mu       sync.Mutex
-	conns    []net.Conn
-}
-
-// Accept keeps the connections, so that a kill can end them.
+	access       *access
+	log          *logBuffer
+	listener     net.Listener
+	stop         context.CancelFunc
+	fatal        *fatal.Register // nil unless a test uses it
+	limits       *quota.Limiter  // nil unless a test uses it
+	signals      *signals.Registry
+	suspendedFor atomic.Int64 // in ns, how long its machine was suspended
+	mu           sync.Mutex
+	conns        []net.Conn
+}
+
+// Accept records the connections so that kill can close them.
 func (g *gateway) Accept() (net.Conn, error) {
 	conn, err := g.listener.Accept()
 	if err == nil {
@@ -271,7 +272,7 @@
 func (g *gateway) Close() error   { return g.listener.Close() }
 func (g *gateway) Addr() net.Addr { return g.listener.Addr() }
 
-// kill ends the gateway as a killed process ends.
+// kill ends the gateway like a killed process, with all of its connections.
 func (g *gateway) kill() {
 	g.stop()
 	_ = g.listener.Close()
@@ -298,10 +299,10 @@
 }
 
 var timing = discovery.Timing{
-	SilentAfter: time.Second, AloneAfter: 1100 * time.Millisecond, LastAfter: 1600 * time.Millisecond, Ping: 100 * time.Millisecond,
-	Poll: 300 * time.Millisecond, PollSlack: 300 * time.Millisecond,
-	Watch: time.Second, WatchSlack: 300 * time.Millisecond, Batch: time.Millisecond, AloneBatch: time.Millisecond,
-	OutageAfter: 1500 * time.Millisecond, Restore: 500 * time.Millisecond,
+	StaleAfter: time.Second, MayReadAfter: 1100 * time.Millisecond, MustReadAfter: 1600 * time.Millisecond, PingInterval: 100 * time.Millisecond,
+	PollWait: 300 * time.Millisecond, PollSlack: 300 * time.Millisecond,
+	WatchWait: time.Second, WatchSlack: 300 * time.Millisecond, BatchDelay: time.Millisecond, SoloBatchDelay: time.Millisecond,
+	OutageAfter: 1500 * time.Millisecond, RestoreWithin: 500 * time.Millisecond,
 }
 
 func listen(t *testing.T) net.Listener {
@@ -313,13 +314,13 @@
 	return listener
 }
 
-// fleet starts gateways in two halls that know the first two as seeds.
+// fleet starts gateways in two halls, with the first two as seeds.
 func fleet(t *testing.T, s *fakeStore, n int) []*gateway {
 	t.Helper()
-	return fleetTimed(t, s, n, timing)
+	return fleetWithTiming(t, s, n, timing)
 }
 
-func fleetTimed(t *testing.T, s *fakeStore, n int, timing discovery.Timing) []*gateway {
+func fleetWithTiming(t *testing.T, s *fakeStore, n int, timing discovery.Timing) []*gateway {
 	t.Helper()
 	listeners := make([]net.Listener, n)
 	for i := range listeners {
@@ -331,45 +332,46 @@
 	}
 	var out []*gateway
 	for i, listener := range listeners {
-		out = append(out, startTimed(t, "gateway-"+strconv.Itoa(i), i, listener, &access{store: s}, seeds, timing))
+		out = append(out, startWithTiming(t, "gateway-"+strconv.Itoa(i), i, listener, &access{store: s}, seeds, timing))
 	}
 	return out
 }
 
 func start(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string) *gateway {
 	t.Helper()
-	return startTimed(t, id, i, listener, a, seeds, timing)
+	return startWithTiming(t, id, i, listener, a, seeds, timing)
 }
 
-func startTimed(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing) *gateway {
+func startWithTiming(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing) *gateway {
 	t.Helper()
-	return startAs(t, id, i, listener, a, seeds, timing, false)
+	return startGateway(t, id, i, listener, a, seeds, timing, false)
 }
 
-// startAs starts a gateway; first says that the whole fleet is new.
-func startAs(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
+// startGateway starts a gateway; first says that the whole fleet starts for the first time.
+func startGateway(t *testing.T, id string, i int, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-" + strconv.Itoa(i%2), Start: uint64(time.Now().UnixNano())}
-	return startBox(t, self, listener, a, seeds, timing, first)
+	return startMember(t, self, listener, a, seeds, timing, first)
 }
 
-// startAt starts a gateway that others reach at an address of another's.
-func startAt(t *testing.T, id string, i int, listener net.Listener, address string, a *access, seeds []string) *gateway {
+// startAdvertising starts a gateway whose peer address differs from its listener's, such as
+// that of a proxy.
+func startAdvertising(t *testing.T, id string, i int, listener net.Listener, address string, a *access, seeds []string) *gateway {
 	t.Helper()
 	self := member.Box{ID: id, Peer: address, Hall: "hall-" + strconv.Itoa(i%2), Start: uint64(time.Now().UnixNano())}
-	return startBox(t, self, listener, a, seeds, timing, false)
+	return startMember(t, self, listener, a, seeds, timing, false)
 }
 
-func startBox(t *testing.T, self member.Box, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
+func startMember(t *testing.T, self member.Box, listener net.Listener, a *access, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
-	return startSource(t, self, listener, a, a.source(), seeds, timing, first)
+	return startWithSource(t, self, listener, a, a.source(), seeds, timing, first)
 }
 
-// startSource starts a gateway that reads the store by a source.
-func startSource(t *testing.T, self member.Box, listener net.Listener, a *access, source discovery.Source, seeds []string, timing discovery.Timing, first bool) *gateway {
+// startWithSource starts a gateway that reads the store through a given source.
+func startWithSource(t *testing.T, self member.Box, listener net.Listener, a *access, source discovery.Source, seeds []string, timing discovery.Timing, first bool) *gateway {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	g := &gateway{access: a, listener: listener, stop: stop, log: &lines{}}
+	g := &gateway{access: a, listener: listener, stop: stop, log: &logBuffer{}}
 	g.Follower = discovery.New(discovery.Options{
 		Self:  self,
 		Seeds: func() []string { return seeds }, Source: source, Timing: timing, FirstStart: first,
@@ -379,70 +381,70 @@
 			return routing.New(routing.Config{Version: version}), err
 		},
 	})
-	for _, duty := range g.Duties() {
-		go func() { _ = duty(ctx) }()
+	for _, task := range g.Tasks() {
+		go func() { _ = task(ctx) }()
 	}
 	go func() { _ = g.Serve(g) }()
 	t.Cleanup(g.kill)
 	return g
 }
 
-// thatRead lists the gateways that read the store. It ends their watches, so that
-// those that are not ranked first rest.
-func thatRead(s *fakeStore, gateways []*gateway) []*gateway {
+// readersAfterUpdate lists the gateways that read the store. It first ends their watches by
+// a change, so that those that do not rank first stop reading.
+func readersAfterUpdate(s *fakeStore, gateways []*gateway) []*gateway {
 	s.setTarget("s1", false)
-	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool { return !gw.Reads() })
+	return slices.DeleteFunc(slices.Clone(gateways), func(gw *gateway) bool { return !gw.ReadsStore() })
 }
 
-// takenUp counts how often gateways took up the reading, by their logs.
-func takenUp(gateways []*gateway) (n int) {
+// readingStarts counts, by their logs, how often gateways became readers.
+func readingStarts(gateways []*gateway) (n int) {
 	for _, gw := range gateways {
 		n += strings.Count(gw.log.String(), `msg="reading the store" reads=true`)
 	}
 	return n
 }
 
-func expectAll(g *WithT, gateways []*gateway, version uint64) {
+func expectVersion(g *WithT, gateways []*gateway, version uint64) {
 	for _, gw := range gateways {
 		g.Eventually(gw.version, eventual).Should(Equal(version))
 	}
 }
 
-// expectCurrent waits until what gateways believe was confirmed, be it that they began
-// with a stale read.
+// expectCurrent waits until the state of all gateways is confirmed, also if they started
+// from a stale read.
 func expectCurrent(g *WithT, gateways []*gateway) {
 	for _, gw := range gateways {
 		g.Eventually(gw.Current, eventual).Should(BeTrue())
 	}
 }
 
-func TestAllGatewaysLearnOfAChangeAndFewReadTheStore(t *testing.T) {
+func TestAllGatewaysReceiveChangesWhileOneReadsTheStore(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeStore()
 	s.setConfig(3)
 	s.setTarget("s1", false)
 	gateways := fleet(t, s, 6)
-	expectAll(g, gateways, 3)
+	expectVersion(g, gateways, 3)
 	s.setConfig(7)
 	s.setTarget("s2", false)
 	s.setTarget("s1", true)
-	expectAll(g, gateways, 7)
+	expectVersion(g, gateways, 7)
 	for _, gw := range gateways {
-		g.Eventually(gw.targets, eventual).Should(ConsistOf("s2"), "leaving targets take nothing new")
+		g.Eventually(gw.targets, eventual).Should(ConsistOf("s2"), "leaving targets receive no new requests")
 	}
-	// From here on only one of the six reads: each change is two calls, one for
-	// either watch, and no other gateway makes any.
+	// By now only one of the six reads the store: each change takes two calls, one for
+	// each watch, and no other gateway makes any.
 	g.Eventually(func() int32 {
 		before := s.calls.Load()
 		for version := range uint64(10) {
 			s.setConfig(100 + uint64(before) + version)
 		}
-		expectAll(g, gateways, 100+uint64(before)+9)
+		expectVersion(g, gateways, 100+uint64(before)+9)
 		return s.calls.Load() - before
 	}, eventual).Should(BeNumerically("<", 6*2))
 }
 
-func TestAGatewayThatIsCutFromTheStoreLearnsFromOthers(t *testing.T) {
+func TestGatewayWithoutStoreAccessReceivesUpdatesFromPeers(t *testing.T) {
 	for name, cut := range map[string]func(*access){
 		"refused": func(a *access) { a.down.Store(true) },
 		"silent":  func(a *access) { a.silent.Store(true) },
@@ -453,79 +455,79 @@
 			s.setConfig(1)
 			s.setTarget("s1", false)
 			gateways := fleet(t, s, 4)
-			expectAll(g, gateways, 1)
+			expectVersion(g, gateways, 1)
 			for _, gw := range gateways[:3] {
 				cut(gw.access)
 			}
 			s.setConfig(2)
-			expectAll(g, gateways, 2)
+			expectVersion(g, gateways, 2)
 		})
 	}
 }
 
-func TestAReaderWhoseWatchHangsIsNotBelieved(t *testing.T) {
+func TestHangingWatchOfTheReaderDoesNotHideChanges(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
-	patient := timing
-	patient.Watch = time.Minute // longer than this test waits
-	reader := startTimed(t, "reader", 0, listen(t), &access{store: s}, nil, patient)
+	custom := timing
+	custom.WatchWait = time.Minute // longer than this test takes
+	reader := startWithTiming(t, "reader", 0, listen(t), &access{store: s}, nil, custom)
 	g.Eventually(reader.version, eventual).Should(Equal(uint64(1)))
 	seeds := []string{reader.Addr().String()}
-	other := startTimed(t, "other", 0, listen(t), &access{store: s}, seeds, patient)
-	expectAll(g, []*gateway{reader, other}, 1)
+	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, seeds, custom)
+	expectVersion(g, []*gateway{reader, other}, 1)
 	g.Eventually(func() bool {
-		s.setTarget("s1", false) // ends the watches, so that the one that is not ranked first rests
-		return reader.Reads() != other.Reads()
+		s.setTarget("s1", false) // ends the watches, so that the gateway that does not rank first stops reading
+		return reader.ReadsStore() != other.ReadsStore()
 	}, eventual).Should(BeTrue())
-	if other.Reads() {
+	if other.ReadsStore() {
 		reader, other = other, reader
 	}
 	reader.access.silent.Store(true)
 	s.setConfig(2)
-	expectAll(g, []*gateway{other, reader}, 2)
+	expectVersion(g, []*gateway{other, reader}, 2)
 }
 
-func TestAGatewayThatTakesUpTheReadingConfirmsAtOnce(t *testing.T) {
+func TestNewReaderConfirmsStateAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
-	patient := timing
-	patient.Watch = time.Hour
-	first := startTimed(t, "first", 0, listen(t), &access{store: s}, nil, patient)
-	expectAll(g, []*gateway{first}, 1)
-	other := startTimed(t, "other", 0, listen(t), &access{store: s}, []string{first.Addr().String()}, patient)
-	expectAll(g, []*gateway{other}, 1)
+	custom := timing
+	custom.WatchWait = time.Hour
+	first := startWithTiming(t, "first", 0, listen(t), &access{store: s}, nil, custom)
+	expectVersion(g, []*gateway{first}, 1)
+	other := startWithTiming(t, "other", 0, listen(t), &access{store: s}, []string{first.Addr().String()}, custom)
+	expectVersion(g, []*gateway{other}, 1)
 	g.Eventually(func() bool {
 		s.setTarget("s1", false)
-		return first.Reads() != other.Reads()
+		return first.ReadsStore() != other.ReadsStore()
 	}, eventual).Should(BeTrue())
-	if other.Reads() {
+	if other.ReadsStore() {
 		first, other = other, first
 	}
 	first.kill()
-	g.Eventually(other.Reads, eventual).Should(BeTrue(), "no change ends its watch for an hour")
+	g.Eventually(other.ReadsStore, eventual).Should(BeTrue(), "it does not wait for its watch, which no change ends for an hour")
 	g.Expect(other.Current()).To(BeTrue())
 }
 
-func TestAnotherGatewayGoesOnReadingForAReaderThatIsTurnedAway(t *testing.T) {
+func TestOneGatewayReplacesReaderRefusedByTheStore(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 6)
-	expectAll(g, gateways, 1)
-	reading := func() []*gateway { return thatRead(s, gateways) }
-	g.Eventually(reading, eventual).Should(HaveLen(1))
-	first := reading()[0]
+	expectVersion(g, gateways, 1)
+	readers := func() []*gateway { return readersAfterUpdate(s, gateways) }
+	g.Eventually(readers, eventual).Should(HaveLen(1))
+	first := readers()[0]
 	first.access.down.Store(true)
-	g.Eventually(func() bool { now := reading(); return len(now) == 1 && now[0] != first }, eventual).Should(BeTrue())
-	before := takenUp(gateways)
+	g.Eventually(func() bool { now := readers(); return len(now) == 1 && now[0] != first }, eventual).Should(BeTrue())
+	before := readingStarts(gateways)
 	for version := uint64(2); version < 12; version++ {
-		time.Sleep(timing.SilentAfter / 2)
+		time.Sleep(timing.StaleAfter / 2)
 		s.setConfig(version)
-		expectAll(g, gateways, version)
+		expectVersion(g, gateways, version)
 	}
-	g.Expect(takenUp(gateways)-before).To(BeNumerically("<", len(gateways)), "the reading does not go round")
+	g.Expect(readingStarts(gateways)-before).To(BeNumerically("<", len(gateways)), "readers are not replaced again and again")
 }
 
-func TestAReaderThatIsCutOffIsNotMadeUpForByAll(t *testing.T) {
+func TestNotAllGatewaysStartReadingWhenReaderIsCutOff(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	var gateways []*gateway
@@ -537,61 +539,61 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		t.Cleanup(proxy.Close)
 		proxies, seeds = append(proxies, proxy), append(seeds, proxy.Address())
-		gateways = append(gateways, startAt(t, "gateway-"+strconv.Itoa(i), i, at, proxy.Address(), &access{store: s}, seeds[:min(2, i+1)]))
+		gateways = append(gateways, startAdvertising(t, "gateway-"+strconv.Itoa(i), i, at, proxy.Address(), &access{store: s}, seeds[:min(2, i+1)]))
 	}
-	expectAll(g, gateways, 1)
-	reading := func() []*gateway { return thatRead(s, gateways) }
-	time.Sleep(3 * time.Second) // by then all have told each other of all
-	g.Eventually(reading, eventual).Should(HaveLen(1))
-	lost := slices.Index(gateways, reading()[0])
+	expectVersion(g, gateways, 1)
+	readers := func() []*gateway { return readersAfterUpdate(s, gateways) }
+	time.Sleep(3 * time.Second) // by then all gateways know all others
+	g.Eventually(readers, eventual).Should(HaveLen(1))
+	lost := slices.Index(gateways, readers()[0])
 	left := slices.Delete(slices.Clone(gateways), lost, lost+1)
-	before := takenUp(left)
+	before := readingStarts(left)
 	gateways[lost].access.silent.Store(true)
 	proxies[lost].Set(faultproxy.Fault{HoldRequests: true, HoldAnswers: true})
-	time.Sleep(2 * timing.LastAfter)
-	t.Logf("%d took up the reading", takenUp(left)-before)
-	g.Expect(takenUp(left)-before).To(BeNumerically("<", len(left)), "not all")
+	time.Sleep(2 * timing.MustReadAfter)
+	t.Logf("%d gateways started reading", readingStarts(left)-before)
+	g.Expect(readingStarts(left)-before).To(BeNumerically("<", len(left)), "not all gateways")
 	for _, gw := range left {
 		g.Expect(gw.Current()).To(BeTrue())
 	}
 }
 
-func TestLogLinesTellWhoReadsWhoTellsAndWhoIsBack(t *testing.T) {
+func TestLogNamesReaderNewNeighbourAndReturningPeer(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	first := start(t, "first", 0, listen(t), &access{store: s}, nil)
 	at := listen(t)
 	other := start(t, "other", 0, at, &access{store: s}, []string{first.Addr().String()})
 	g.Eventually(first.log.String, eventual).Should(ContainSubstring(`msg="reading the store" reads=true rank=0`))
-	g.Eventually(other.log.String, eventual).Should(MatchRegexp(`msg="news come from" peer=(first|"") address=` + first.Addr().String()))
+	g.Eventually(other.log.String, eventual).Should(MatchRegexp(`msg="exchanging state with a new neighbour" peer=(first|"") address=` + first.Addr().String()))
 	other.kill()
 	again, err := net.Listen("tcp", at.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
-	first.Follower.Lose("other", at.Addr().String())
+	first.Follower.RecordLost("other", at.Addr().String())
 	start(t, "other", 0, again, &access{store: s}, []string{first.Addr().String()})
 	g.Eventually(first.log.String, eventual).Should(ContainSubstring(`msg="peer back" peer=other`))
 }
 
-func TestTheReadersDeathHidesNoChange(t *testing.T) {
+func TestChangesArriveAfterReaderIsKilled(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 5)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	for version := uint64(2); len(gateways) > 1; version++ {
-		gateways[0].kill() // sooner or later this is the reader
+		gateways[0].kill() // one of these is the reader
 		gateways = slices.Clone(gateways[1:])
 		s.setConfig(version)
-		expectAll(g, gateways, version)
+		expectVersion(g, gateways, version)
 	}
 }
 
-func TestAGatewayThatStartsWhileTheStoreIsDownLearnsFromPeers(t *testing.T) {
+func TestGatewayStartedDuringStoreOutageGetsStateFromPeers(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeStore()
 	s.setConfig(4)
 	s.setTarget("s1", false)
 	gateways := fleet(t, s, 2)
-	expectAll(g, gateways, 4)
+	expectVersion(g, gateways, 4)
 	expectCurrent(g, gateways)
 	for _, gw := range gateways {
 		gw.access.down.Store(true)
@@ -599,19 +601,19 @@
 	listener := listen(t)
 	late := &access{store: s}
 	late.down.Store(true)
-	seeds := []string{"127.0.0.1:1", gateways[0].listener.Addr().String()} // the first seed is gone
+	seeds := []string{"127.0.0.1:1", gateways[0].listener.Addr().String()} // the first seed is unreachable
 	gw := start(t, "late", 2, listener, late, seeds)
 	g.Eventually(gw.Ready(), eventual).Should(BeClosed())
 	g.Expect(gw.version()).To(Equal(uint64(4)))
 	g.Expect(gw.targets()).To(ConsistOf("s1"))
-	g.Eventually(gw.Current, eventual).Should(BeFalse(), "nobody can confirm what is believed")
+	g.Eventually(gw.Current, eventual).Should(BeFalse(), "no gateway can confirm the state")
 }
 
-func TestAForgottenHistoryIsReadAnew(t *testing.T) {
+func TestFullListIsReadWhenHistoryIsGone(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 3)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	expectCurrent(g, gateways)
 	for _, gw := range gateways {
 		gw.access.silent.Store(true)
@@ -622,21 +624,21 @@
 	for _, gw := range gateways {
 		gw.access.silent.Store(false)
 	}
-	expectAll(g, gateways, 2)
+	expectVersion(g, gateways, 2)
 	for _, gw := range gateways {
 		g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "s2"))
 	}
 }
 
-func TestGatewaysThatStartTogetherDoNotTakeItForAnOutage(t *testing.T) {
+func TestSimultaneousStartIsNotTreatedAsOutage(t *testing.T) {
 	g := NewWithT(t)
 	s := newFakeStore()
-	s.delay = 200 * time.Millisecond // peers that know nothing yet are heard first
+	s.delay = 200 * time.Millisecond // peers without any state reply before the store does
 	s.setConfig(1)
 	s.setTarget("s1", false)
-	patient := timing
-	patient.Restore = time.Hour
-	for _, gw := range fleetTimed(t, s, 5, patient) {
+	custom := timing
+	custom.RestoreWithin = time.Hour
+	for _, gw := range fleetWithTiming(t, s, 5, custom) {
 		g.Eventually(gw.Ready(), eventual).Should(BeClosed())
 		s.setTarget("s2", false)
 		g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "s2"))
@@ -644,34 +646,34 @@
 	}
 }
 
-func TestFewOfANewFleetReadTheStore(t *testing.T) {
+func TestFewGatewaysOfNewFleetReadTheStore(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
-	patient := timing
-	patient.SilentAfter, patient.AloneAfter, patient.LastAfter = time.Hour, time.Hour, time.Hour
+	custom := timing
+	custom.StaleAfter, custom.MayReadAfter, custom.MustReadAfter = time.Hour, time.Hour, time.Hour
 	var seeds []string
 	var gateways []*gateway
 	for i := range 6 {
 		at := listen(t)
 		seeds = append(seeds, at.Addr().String())
-		gateways = append(gateways, startAs(t, "gateway-"+strconv.Itoa(i), i, at, &access{store: s}, seeds[:1], patient, true))
+		gateways = append(gateways, startGateway(t, "gateway-"+strconv.Itoa(i), i, at, &access{store: s}, seeds[:1], custom, true))
 	}
-	expectAll(g, gateways, 1)
-	g.Expect(takenUp(gateways)).To(BeNumerically("<", 4), "those that rank first by what each has heard")
+	expectVersion(g, gateways, 1)
+	g.Expect(readingStarts(gateways)).To(BeNumerically("<", 4), "those that rank first in their own view")
 }
 
-func TestEntriesThatLapsedInAnOutageAreGivenTimeToComeBack(t *testing.T) {
-	for name, forgets := range map[string]bool{"with the history kept": false, "with the history lost": true} {
+func TestEntriesExpiredInOutageAreNotRemovedBeforeRestoration(t *testing.T) {
+	for name, forgets := range map[string]bool{"history kept": false, "history lost": true} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newFakeStore()
 			s.setConfig(1)
 			s.setTarget("s1", false)
 			s.setTarget("s2", false)
-			patient := timing
-			patient.Restore = 3 * time.Second // far longer than it takes to make an entry again
-			gateways := fleetTimed(t, s, 3, patient)
-			expectAll(g, gateways, 1)
+			custom := timing
+			custom.RestoreWithin = 3 * time.Second // far longer than it takes to write an entry again
+			gateways := fleetWithTiming(t, s, 3, custom)
+			expectVersion(g, gateways, 1)
 			expectCurrent(g, gateways)
 			for _, gw := range gateways {
 				g.Eventually(gw.targets, eventual).Should(HaveLen(2))
@@ -699,21 +701,21 @@
 			for _, gw := range gateways {
 				gw.access.down.Store(false)
 			}
-			time.Sleep(100 * time.Millisecond) // long enough to be seen, were it believed
+			time.Sleep(100 * time.Millisecond) // long enough to be noticed if the gateways applied it
 			s.setTarget("s1", false)
 			for _, gw := range gateways {
-				g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"), "what is still missing is gone")
+				g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"), "the target whose entry is still missing is gone")
 			}
-			g.Expect(least.Load()).To(BeNumerically(">", 0), "a target that lives was never taken for gone")
+			g.Expect(least.Load()).To(BeNumerically(">", 0), "a running target was never removed")
 		})
 	}
 }
 
-func TestNoGatewayEverFallsBackToAnOlderConfiguration(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 4)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	stop := make(chan struct{})
 	var watchers sync.WaitGroup
 	for _, gw := range gateways {
@@ -721,7 +723,7 @@
 			for last := uint64(0); ; {
 				now := gw.version()
 				if now < last {
-					t.Errorf("fell from %d to %d", last, now)
+					t.Errorf("version decreased from %d to %d", last, now)
 				}
 				last = now
 				select {
@@ -740,18 +742,18 @@
 	for _, gw := range gateways {
 		gw.access.down.Store(false)
 	}
-	expectAll(g, gateways, 59)
+	expectVersion(g, gateways, 59)
 	close(stop)
 	watchers.Wait()
 }
 
-func TestAnUnreadableConfigurationChangesNothing(t *testing.T) {
+func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	gateways := fleet(t, s, 1)
-	expectAll(g, gateways, 1)
+	expectVersion(g, gateways, 1)
 	s.change(func() { s.version, s.configAt, s.body = 2, s.revision, "not a number" })
 	g.Consistently(gateways[0].version, 300*time.Millisecond).Should(Equal(uint64(1)))
 	s.change(func() { s.version, s.configAt, s.body = 3, s.revision, "" })
-	expectAll(g, gateways, 3)
+	expectVersion(g, gateways, 3)
 }
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -20,7 +20,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// evacuate asks for the evacuation of a hall, or takes the hall back.
+// evacuate starts or ends the evacuation of a hall.
 func (s *fakeStore) evacuate(hall string, on bool) {
 	s.change(func() {
 		if on {
@@ -34,18 +34,21 @@
 	})
 }
 
-// following is the source of a gateway that watches evacuations, too.
-func (a *access) following() discovery.Source { return a.followingBy(a.await) }
+// sourceWithEvacuations is the source of a gateway that also watches evacuations.
+func (a *access) sourceWithEvacuations() discovery.Source {
+	return a.sourceWithEvacuationWait(a.awaitChange)
+}
 
-// followingByLists is that of one that reads their list again each second.
-func (a *access) followingByLists() discovery.Source {
-	return a.followingBy(func(ctx context.Context, _ uint64, _ time.Duration) error {
+// sourceWithPolledEvacuations is that of a gateway that reads their list each second
+// instead.
+func (a *access) sourceWithPolledEvacuations() discovery.Source {
+	return a.sourceWithEvacuationWait(func(ctx context.Context, _ uint64, _ time.Duration) error {
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := a.reach(ctx); err != nil {
+		if err := a.call(ctx); err != nil {
 			return err
 		}
 		a.store.mu.Lock()
@@ -53,11 +56,12 @@
 	})
 }
 
-// followingBy waits for changes by await, which returns with the store's lock held.
-func (a *access) followingBy(await func(ctx context.Context, from uint64, wait time.Duration) error) discovery.Source {
+// sourceWithEvacuationWait waits for changes by awaitChange, which returns with the store's
+// lock held.
+func (a *access) sourceWithEvacuationWait(awaitChange func(ctx context.Context, from uint64, wait time.Duration) error) discovery.Source {
 	source := a.source()
 	source.Evacuations = func(ctx context.Context) (discovery.List[catalog.Evacuation], error) {
-		if err := a.reach(ctx); err != nil {
+		if err := a.call(ctx); err != nil {
 			return discovery.List[catalog.Evacuation]{}, err
 		}
 		a.store.mu.Lock()
@@ -69,7 +73,7 @@
 		return source.Evacuations(ctx)
 	}
 	source.WatchEvacuations = func(ctx context.Context, from uint64, wait time.Duration) (discovery.Changes[catalog.EvacuationChange], error) {
-		if err := await(ctx, from, wait); err != nil {
+		if err := awaitChange(ctx, from, wait); err != nil {
 			return discovery.Changes[catalog.EvacuationChange]{}, err
 		}
 		defer a.store.mu.Unlock()
@@ -84,7 +88,7 @@
 	return source
 }
 
-// allEvacuations lists what stands; the lock is held.
+// allEvacuations lists the present evacuations; the lock is held.
 func (s *fakeStore) allEvacuations() []catalog.Evacuation {
 	var out []catalog.Evacuation
 	for _, hall := range slices.Sorted(maps.Keys(s.evacuated)) {
@@ -93,12 +97,12 @@
 	return out
 }
 
-// untilEvacuated is how long it takes until so many halls are evacuated for all of some
-// gateways.
-func (f *bigFleet) untilEvacuated(gateways []*gateway, halls int) time.Duration {
+// untilEvacuated returns the time until a number of halls is evacuated according to all of
+// some gateways.
+func (f *virtualFleet) untilEvacuated(gateways []*gateway, halls int) time.Duration {
 	began := time.Now()
-	for time.Since(began) < 2*patience {
-		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.EvacuatedHalls() != halls }) {
+	for time.Since(began) < 2*waitLimit {
+		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.EvacuatedHallCount() != halls }) {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -106,22 +110,22 @@
 	return time.Since(began)
 }
 
-// Two ways of hearing of evacuations, by what they cost while all is calm and by how
-// soon one is in force everywhere.
-func TestAnEvacuationIsInForceEverywhereWithinMoments(t *testing.T) {
+// Compares a watch of the evacuations with reading their list each second, by the calls
+// while nothing changes and by the time until an evacuation is in force everywhere.
+func TestEvacuationReachesFleetInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		source func(*access) discovery.Source
 		within time.Duration
 	}{
-		"by a third watch":           {(*access).following, 600 * time.Millisecond},
-		"by a list read each second": {(*access).followingByLists, 2 * time.Second},
+		"third watch":           {(*access).sourceWithEvacuations, 600 * time.Millisecond},
+		"list read each second": {(*access).sourceWithPolledEvacuations, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			measureReading(t, fleetSize(95), 1, c.source, func(g *WithT, fleet *bigFleet) {
-				const calm = 10 // seconds
+			onFleetWithSource(t, fleetSize(95), 1, c.source, func(g *WithT, fleet *virtualFleet) {
+				const idle = 10 // seconds
 				calls := fleet.store.calls.Load()
-				time.Sleep(calm * time.Second)
-				fleet.t.Logf("%.1f calls a second while all is calm", float64(fleet.store.calls.Load()-calls)/calm)
+				time.Sleep(idle * time.Second)
+				fleet.t.Logf("%.1f calls a second while nothing changes", float64(fleet.store.calls.Load()-calls)/idle)
 				for on, halls := range map[bool]int{true: 1, false: 0} {
 					fleet.store.evacuate("hall-1", on)
 					took := fleet.untilEvacuated(fleet.gateways, halls)
@@ -136,57 +140,56 @@
 	}
 }
 
-// evacuateWithin is the users' bound on an evacuation.
+// evacuateWithin is the required bound on the time until an evacuation is in force.
 const evacuateWithin = 5 * time.Second
 
-// What happens to the store and to whoever reads it in the moment in which an
-// evacuation is acknowledged.
-func TestAnEvacuationIsInForceWhateverFailsWhenItIsAcknowledged(t *testing.T) {
-	all := func(fleet *bigFleet, do func(g *gateway)) {
+// The store or the gateways that read it fail at the moment an evacuation is acknowledged.
+func TestEvacuationIsAppliedDespiteFailureAtAcknowledgement(t *testing.T) {
+	all := func(fleet *virtualFleet, do func(g *gateway)) {
 		for _, gw := range fleet.gateways {
 			do(gw)
 		}
 	}
-	for name, fail := range map[string]func(fleet *bigFleet) (bound []*gateway){
-		"nothing": func(fleet *bigFleet) []*gateway { return fleet.gateways },
-		"those that read are killed": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+	for name, fail := range map[string]func(fleet *virtualFleet) (bound []*gateway){
+		"no failure": func(fleet *virtualFleet) []*gateway { return fleet.gateways },
+		"readers are killed": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.kill()
 			}
 			return without(fleet.gateways, readers)
 		},
-		"those that read are cut off from all": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+		"readers are cut off from all": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.access.silent.Store(true)
 			}
 			fleet.cutOff(readers, false)
 			return without(fleet.gateways, readers)
 		},
-		"the store is down for two seconds": func(fleet *bigFleet) []*gateway {
+		"store is down for two seconds": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.down.Store(true) })
 			time.Sleep(2 * time.Second)
 			all(fleet, func(g *gateway) { g.access.down.Store(false) })
 			return fleet.gateways
 		},
-		"the store is silent for two seconds": func(fleet *bigFleet) []*gateway {
+		"store does not respond for two seconds": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.silent.Store(true) })
 			time.Sleep(2 * time.Second)
 			all(fleet, func(g *gateway) { g.access.silent.Store(false) })
 			return fleet.gateways
 		},
-		"a third is turned away, whoever reads among them": func(fleet *bigFleet) []*gateway {
-			for _, gw := range append(thatReadNow(fleet.gateways), fleet.share(0.35)...) {
+		"store refuses a third and the readers": func(fleet *virtualFleet) []*gateway {
+			for _, gw := range append(readersByLog(fleet.gateways), fleet.sample(0.35)...) {
 				gw.access.down.Store(true)
 			}
 			return fleet.gateways
 		},
-		"the history is forgotten": func(fleet *bigFleet) []*gateway {
+		"history is gone": func(fleet *virtualFleet) []*gateway {
 			fleet.store.forget()
 			return fleet.gateways
 		},
-		"it is begun, ended and begun again while nobody can look": func(fleet *bigFleet) []*gateway {
+		"evacuation ends and starts again while the store does not respond": func(fleet *virtualFleet) []*gateway {
 			all(fleet, func(g *gateway) { g.access.silent.Store(true) })
 			fleet.store.evacuate("hall-1", false)
 			fleet.store.evacuate("hall-1", true)
@@ -196,14 +199,14 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			measureReading(t, fleetSize(30), 1, (*access).following, func(g *WithT, fleet *bigFleet) {
+			onFleetWithSource(t, fleetSize(30), 1, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
 				fleet.store.evacuate("hall-1", true)
 				bound := fail(fleet)
 				took := fleet.untilEvacuated(bound, 1)
 				fleet.t.Logf("in force after %v", took)
 				g.Expect(took).To(BeNumerically("<", evacuateWithin))
 				fleet.store.evacuate("hall-2", true)
-				g.Expect(fleet.untilEvacuated(bound, 2)).To(BeNumerically("<", evacuateWithin), "one that overlaps")
+				g.Expect(fleet.untilEvacuated(bound, 2)).To(BeNumerically("<", evacuateWithin), "an overlapping evacuation")
 				fleet.store.evacuate("hall-1", false)
 				g.Expect(fleet.untilEvacuated(bound, 1)).To(BeNumerically("<", evacuateWithin))
 			})
@@ -211,20 +214,20 @@
 	}
 }
 
-func TestTargetsOfAnEvacuatedHallTakeNothing(t *testing.T) {
+func TestTargetsOfEvacuatedHallReceiveNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.change(func() {
 		s.targets["far"] = catalog.Target{ID: "far", Service: "shop", Hall: "hall-1", Address: "10.0.0.2:80"}
 	})
 	a := &access{store: s}
-	gw := startFollowing(t, "first", a, nil)
+	gw := startWithEvacuations(t, "first", a, nil)
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "far"))
 	s.evacuate("hall-1", true)
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
 	g.Expect(gw.Snapshot().Evacuated("shop")).To(Equal(1))
 	g.Expect(gw.log.String()).To(ContainSubstring(`msg="evacuations changed" halls=[hall-1]`))
-	late := startFollowing(t, "late", &access{store: s}, nil)
+	late := startWithEvacuations(t, "late", &access{store: s}, nil)
 	g.Eventually(late.Ready(), eventual).Should(BeClosed())
 	g.Expect(late.targets()).To(ConsistOf("s1"), "a gateway that starts knows of it from the first request on")
 	s.evacuate("hall-1", false)
@@ -232,25 +235,25 @@
 	g.Expect(gw.Snapshot().Evacuated("shop")).To(BeZero())
 }
 
-// startFollowing starts a gateway that follows evacuations.
-func startFollowing(t *testing.T, id string, a *access, seeds []string) *gateway {
+// startWithEvacuations starts a gateway that follows evacuations.
+func startWithEvacuations(t *testing.T, id string, a *access, seeds []string) *gateway {
 	t.Helper()
 	listener := listen(t)
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-0", Start: uint64(time.Now().UnixNano())}
-	return startSource(t, self, listener, a, a.following(), seeds, timing, false)
+	return startWithSource(t, self, listener, a, a.sourceWithEvacuations(), seeds, timing, false)
 }
 
-// Messages of the revision before evacuations were followed, as its gateways send them.
+// Messages as sent by gateways of the revision before evacuations were followed.
 type (
-	EarlierPosition struct{ Config, ConfigRevision, Targets, Changed uint64 }
-	EarlierDelta    struct {
-		To      EarlierPosition
+	PreEvacuationPosition struct{ Config, ConfigRevision, Targets, Changed uint64 }
+	PreEvacuationDelta    struct {
+		To      PreEvacuationPosition
 		Config  []byte
 		Whole   bool
 		Changes []catalog.Change
 	}
-	EarlierArgs struct {
-		At      EarlierPosition
+	PreEvacuationArgs struct {
+		At      PreEvacuationPosition
 		Wait    time.Duration
 		Age     time.Duration
 		Members []peers.Sighting
@@ -258,11 +261,11 @@
 		From    member.Box
 		Tries   []reader.Try
 	}
-	EarlierReply struct {
+	PreEvacuationReply struct {
 		Age       time.Duration
 		Origin    string
 		Held      time.Duration
-		Delta     EarlierDelta
+		Delta     PreEvacuationDelta
 		Targets   []byte
 		Busy      bool
 		Members   []peers.Sighting
@@ -272,36 +275,36 @@
 	}
 )
 
-func TestAGatewayOfTheRevisionBeforeIsServed(t *testing.T) {
+func TestPeerWithoutEvacuationsIsServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.evacuate("hall-1", true)
-	gw := startFollowing(t, "new", &access{store: s}, nil)
+	gw := startWithEvacuations(t, "new", &access{store: s}, nil)
 	g.Eventually(gw.Current, eventual).Should(BeTrue())
 	client, err := rpc.Dial("tcp", gw.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = client.Close() }()
-	var told EarlierReply
-	g.Expect(client.Call("Feed.News", EarlierArgs{}, &told)).To(Succeed())
-	g.Expect(told.Delta.To.Config).To(Equal(uint64(1)))
-	g.Expect(told.Delta.Whole).To(BeTrue())
+	var reply PreEvacuationReply
+	g.Expect(client.Call("Feed.News", PreEvacuationArgs{}, &reply)).To(Succeed())
+	g.Expect(reply.Delta.To.Config).To(Equal(uint64(1)))
+	g.Expect(reply.Delta.Whole).To(BeTrue())
 	const wait = 200 * time.Millisecond
 	asked := time.Now()
-	g.Expect(client.Call("Feed.News", EarlierArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries}, &EarlierReply{})).To(Succeed())
-	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows: its questions wait")
+	g.Expect(client.Call("Feed.News", PreEvacuationArgs{At: reply.Delta.To, Wait: wait, Digest: true, Tries: reply.Tries}, &PreEvacuationReply{})).To(Succeed())
+	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows, so its polls wait")
 }
 
-// earlierGateway answers as one of the revision before does, whose knowledge is always
-// fresh.
-type earlierGateway struct{ self member.Box }
+// preEvacuationGateway answers like a gateway of the revision before evacuations, whose
+// state is always fresh.
+type preEvacuationGateway struct{ self member.Box }
 
-func (e *earlierGateway) News(args EarlierArgs, reply *EarlierReply) error {
-	reply.Delta.To = EarlierPosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3}
+func (e *preEvacuationGateway) News(args PreEvacuationArgs, reply *PreEvacuationReply) error {
+	reply.Delta.To = PreEvacuationPosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3}
 	reply.Origin = e.self.ID
 	reply.Members = []peers.Sighting{{Box: e.self}}
 	if !args.Digest && args.At.Config < 1 {
 		var packed bytes.Buffer
-		w, _ := flate.NewWriter(&packed, flate.DefaultCompression) // the level is a valid one
+		w, _ := flate.NewWriter(&packed, flate.DefaultCompression) // the level is valid
 		_, _ = w.Write([]byte("1"))
 		_ = w.Close()
 		reply.Delta.Config = packed.Bytes()
@@ -314,30 +317,31 @@
 	return nil
 }
 
-func TestAGatewayOfTheRevisionBeforeConfirmsNoEvacuations(t *testing.T) {
+func TestPeerWithoutEvacuationsDoesNotConfirmState(t *testing.T) {
 	g := NewWithT(t)
 	at := listen(t)
 	server := rpc.NewServer()
-	g.Expect(server.RegisterName("Feed", &earlierGateway{self: member.Box{ID: "earlier", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}})).To(Succeed())
+	g.Expect(server.RegisterName("Feed", &preEvacuationGateway{self: member.Box{ID: "earlier", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}})).To(Succeed())
 	t.Cleanup(func() { _ = at.Close() })
 	go func(l net.Listener) { server.Accept(l) }(at)
 	s := newFilledStore()
 	s.evacuate("hall-1", true)
 	a := &access{store: s}
 	a.silent.Store(true)
-	gw := startFollowing(t, "new", a, []string{at.Addr().String()})
+	gw := startWithEvacuations(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
-	g.Consistently(gw.Current, timing.LastAfter).Should(BeFalse(), "nobody has told of evacuations")
+	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "no gateway has sent evacuations")
 	a.silent.Store(false)
-	g.Eventually(gw.EvacuatedHalls, eventual).Should(Equal(1), "so it reads them itself")
+	g.Eventually(gw.EvacuatedHallCount, eventual).Should(Equal(1), "it reads them itself")
 	g.Expect(gw.targets()).To(BeEmpty())
 }
 
-// A gateway that is busy sending all targets to others says how far it is and sends
-// nothing: what it said of evacuations once made others take themselves for as far, with
-// no targets.
-func TestAFleetThatLosesPowerKnowsAllTargetsSoon(t *testing.T) {
-	measureReading(t, fleetSize(60), 1, (*access).following, func(g *WithT, fleet *bigFleet) {
+// Guards against a Busy reply confirming state that is not there: a gateway that is busy
+// sending all targets to others replies with its position alone. Because the reply
+// contained the evacuations, its callers once advanced to that position without having any
+// targets.
+func TestFleetRestartDistributesAllTargets(t *testing.T) {
+	onFleetWithSource(t, fleetSize(60), 1, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
 		fleet.store.evacuate("hall-1", true)
 		size := len(fleet.gateways)
 		fleet.stopAll()
@@ -348,28 +352,28 @@
 		time.Sleep(3 * time.Second)
 		for _, gw := range fleet.gateways {
 			g.Expect(gw.targets()).To(HaveLen(301))
-			g.Expect(gw.EvacuatedHalls()).To(Equal(1))
+			g.Expect(gw.EvacuatedHallCount()).To(Equal(1))
 			g.Expect(gw.Current()).To(BeTrue())
 		}
 	})
 }
 
-// A third is turned away by the store and a quarter cut off: whoever reads, the standbys
-// and the two that try after them are among these.
-func TestAChangeIsInForceThoughTheFirstThatTryAllFail(t *testing.T) {
-	measureReading(t, fleetSize(60), 4, (*access).following, func(g *WithT, fleet *bigFleet) {
-		struck := thatReadNow(fleet.gateways)
-		for _, gw := range struck {
+// The store refuses a third of the gateways and a quarter is cut off. The reader, the
+// standbys and the next two gateways that try to read are all among these.
+func TestChangeReachesFleetWhenFirstReadersFail(t *testing.T) {
+	onFleetWithSource(t, fleetSize(60), 4, (*access).sourceWithEvacuations, func(g *WithT, fleet *virtualFleet) {
+		failed := readersByLog(fleet.gateways)
+		for _, gw := range failed {
 			gw.access.down.Store(true)
 		}
 		fleet.store.setConfig(2)
 		bound := fleet.gateways
 		const fail = 5
 		began := time.Now()
-		for ; len(struck) < fail && time.Since(began) < patience; time.Sleep(time.Millisecond) {
-			for _, gw := range without(thatReadNow(fleet.gateways), struck) {
-				struck = append(struck, gw)
-				if len(struck) < fail {
+		for ; len(failed) < fail && time.Since(began) < waitLimit; time.Sleep(time.Millisecond) {
+			for _, gw := range without(readersByLog(fleet.gateways), failed) {
+				failed = append(failed, gw)
+				if len(failed) < fail {
 					gw.access.down.Store(true)
 					continue
 				}
@@ -378,9 +382,9 @@
 				bound = without(fleet.gateways, []*gateway{gw})
 			}
 		}
-		fleet.untilAll(bound, 2)
+		fleet.untilVersion(bound, 2)
 		took := time.Since(began)
-		fleet.t.Logf("known after %v, %d took up the reading", took, takenUp(fleet.gateways))
-		g.Expect(took).To(BeNumerically("<", 3*time.Second), "the time within which it must be in force")
+		fleet.t.Logf("in force after %v, %d reading starts", took, readingStarts(fleet.gateways))
+		g.Expect(took).To(BeNumerically("<", 3*time.Second), "the required bound")
 	})
 }
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -14,7 +14,7 @@
 
 var errNoAnswer = errors.New("the gateway did not answer in time")
 
-// askOnce asks a gateway a question that does not wait and works its answer in.
+// askOnce sends a gateway a request that does not wait, and applies its reply.
 func (f *Follower) askOnce(ctx context.Context, peer member.Box, args UpdateArgs) (reply *UpdateReply, err error) {
 	l, err := f.links.acquire(ctx, peer.Peer, f.dialSlack(peer))
 	if err != nil {
@@ -27,7 +27,7 @@
 	defer timer.Stop()
 	select {
 	case <-call.Done:
-		return f.answered(peer, call, asked)
+		return f.handleReply(peer, call, asked)
 	case <-timer.C:
 		return nil, errNoAnswer
 	case <-ctx.Done():
@@ -35,28 +35,29 @@
 	}
 }
 
-// answered works the answer to a question in that was asked at a moment.
-func (f *Follower) answered(peer member.Box, call *rpc.Call, asked time.Time) (*UpdateReply, error) {
+// handleReply applies the reply to a request that was sent at the time asked.
+func (f *Follower) handleReply(peer member.Box, call *rpc.Call, asked time.Time) (*UpdateReply, error) {
 	if call.Error != nil {
 		return nil, call.Error
 	}
 	reply := call.Reply.(*UpdateReply)
-	onTheWay := max(0, f.options.Clock().Sub(asked)-reply.Held)
-	reply.Age, reply.ReaderAge = older(reply.Age, onTheWay), older(reply.ReaderAge, onTheWay)
-	f.options.ObserveLimits(reply.LimitsFor - onTheWay)
-	return reply, f.take(peer, reply)
+	inTransit := max(0, f.options.Clock().Sub(asked)-reply.Held)
+	reply.Age, reply.ReaderAge = agedBy(reply.Age, inTransit), agedBy(reply.ReaderAge, inTransit)
+	f.options.ObserveLimits(reply.LimitsFor - inTransit)
+	return reply, f.applyReply(peer, reply)
 }
 
-// older is the age, some time later, of what had an age.
-func older(age, later time.Duration) time.Duration {
+// agedBy returns an age after some more time has passed.
+func agedBy(age, later time.Duration) time.Duration {
 	if age == freshness.Never {
 		return age
 	}
 	return age + later
 }
 
-// take works an answer in. What it only says to be missing here is asked for.
-func (f *Follower) take(peer member.Box, reply *UpdateReply) error {
+// applyReply applies a reply. What is missing here according to the reply, but not
+// contained in it, is requested.
+func (f *Follower) applyReply(peer member.Box, reply *UpdateReply) error {
 	if err := reply.unpack(); err != nil {
 		return err
 	}
@@ -66,15 +67,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	f.meet(now, reply.Members, f.view.ObserveAnswer)
+	f.observeSightings(now, reply.Members, f.view.ObserveAnswer)
 	f.fresh.RecordReader(now.Add(-reply.ReaderAge), reply.Reader)
 	f.noteTries(now, reply.Tries)
 	f.mergeUpdates(reply.Fatal, peer.ID)
-	f.compare(now, peer, reply)
+	f.comparePosition(now, peer, reply)
 	return nil
 }
 
-// unpack gives back what was packed for the way.
+// unpack decompresses the compressed parts of a reply.
 func (r *UpdateReply) unpack() error {
 	if r.Delta.Config != nil {
 		body, err := inflate(r.Delta.Config)
@@ -91,10 +92,10 @@
 	return err
 }
 
-// compare holds another gateway's position against the own: what that one says of its
-// age holds here, too, unless something is missing, which is asked for. The lock is
-// held.
-func (f *Follower) compare(now time.Time, peer member.Box, reply *UpdateReply) {
+// comparePosition compares another gateway's position with this gateway's own: that
+// gateway's age holds here, too, unless something is missing here, which is then requested.
+// The lock is held.
+func (f *Follower) comparePosition(now time.Time, peer member.Box, reply *UpdateReply) {
 	theirs := reply.Delta.To
 	if f.catalog.Position().IsBehind(theirs) {
 		f.noteOffer(now, offer{peer: peer, at: theirs})
@@ -105,36 +106,36 @@
 		return
 	}
 	f.catalog.CatchUp(theirs)
-	f.noteLife(now, position)
+	f.noteEpoch(now, position)
 	f.publishWaiting(peer.Peer)
 	f.confirm(now.Add(-reply.Age), reply.Origin)
 }
 
-// canConfirm says whether an update of a gateway at a position can confirm all that is
-// believed here: one of an earlier version follows no evacuations, or no rollouts.
+// canConfirm reports whether a gateway at a position can confirm all of the state here: a
+// gateway of an earlier version follows no evacuations, or no rollouts.
 func (f *Follower) canConfirm(theirs catalog.Position) bool {
 	evacuations := theirs.Evacuations > 0 || !f.options.Source.followsEvacuations()
 	rollouts := theirs.Rollouts > 0 || !f.options.Source.followsRollouts()
 	return evacuations && rollouts
 }
 
-// confirm notes that what is believed was all that the store held at a moment, by
-// the reading of the gateway origin; the lock is held.
+// confirm records that the known state was identical to the store's at some time, by a read
+// of the gateway origin; the lock is held.
 func (f *Follower) confirm(at time.Time, origin string) {
-	f.wakeIfOld(f.fresh.Confirm(at, origin))
+	f.wakeIfStale(f.fresh.Confirm(at, origin))
 }
 
-// noteTries takes in which tries to read the store another gateway knows of; the lock is
+// noteTries adds the attempts to read the store that another gateway knows of; the lock is
 // held.
 func (f *Follower) noteTries(now time.Time, tries []reader.Try) {
-	news := false
+	changed := false
 	for _, try := range tries {
-		news = f.tries.Add(now, try) || news
+		changed = f.tries.Add(now, try) || changed
 		if try.Failed {
 			f.fresh.RecordFailure(now.Add(-try.Ago))
 		}
 	}
-	if news {
-		f.wake() // others have to learn of it, and the reading may no longer fall to this one
+	if changed {
+		f.wake() // to forward it, and since this gateway may no longer have to read the store
 	}
 }
--- a/internal/gateway/discovery/export_test.go
+++ b/internal/gateway/discovery/export_test.go
@@ -9,17 +9,20 @@
 
 var errTest = errors.New("lost by a test")
 
-// Lose does what follows when another gateway does not answer.
-func (f *Follower) Lose(id, address string) { f.noteLost(member.Box{ID: id, Peer: address}, errTest) }
+// RecordLost acts as if another gateway had not answered.
+func (f *Follower) RecordLost(id, address string) {
+	f.noteLost(member.Box{ID: id, Peer: address}, errTest)
+}
 
-// Meet takes in whom another gateway, the first of the sightings, tells of.
-func (f *Follower) Meet(sightings []peers.Sighting) {
+// ObserveSightings adds the gateways that another one, the first of the sightings, has
+// seen.
+func (f *Follower) ObserveSightings(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.meet(f.options.Clock(), sightings, f.view.ObserveAnswer)
+	f.observeSightings(f.options.Clock(), sightings, f.view.ObserveAnswer)
 }
 
-// DrawNeighbour draws who has a place next.
+// DrawNeighbour draws the next neighbour for a slot.
 func (f *Follower) DrawNeighbour(place int) member.Box {
 	n, _ := f.drawNeighbour(place)
 	return n.peer
--- a/internal/gateway/discovery/fatal_test.go
+++ b/internal/gateway/discovery/fatal_test.go
@@ -12,26 +12,26 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/quarantine"
 )
 
-// fatalRequest is one under which targets end.
+// fatalRequest is a request that terminates targets.
 var fatalRequest = quarantine.Request{Fingerprint: fingerprint.Fingerprint{Content: "fatal", Caller: "caller"}, Service: "shop"}
 
-// refuses says whether a gateway has the fatal request quarantined.
-func (g *gateway) refuses() bool {
+// hasQuarantined reports whether a gateway has quarantined the fatal request.
+func (g *gateway) hasQuarantined() bool {
 	print := func() fingerprint.Fingerprint { return fatalRequest.Fingerprint }
 	return g.fatal.Verdict(print).IsQuarantined()
 }
 
-// untilAllRefuse is how long it takes until some gateways have the request quarantined.
-func untilAllRefuse(gateways []*gateway) time.Duration {
+// untilQuarantined returns the time until some gateways have quarantined the request.
+func untilQuarantined(gateways []*gateway) time.Duration {
 	began := time.Now()
-	for time.Since(began) < patience && slices.ContainsFunc(gateways, func(g *gateway) bool { return !g.refuses() }) {
+	for time.Since(began) < waitLimit && slices.ContainsFunc(gateways, func(g *gateway) bool { return !g.hasQuarantined() }) {
 		time.Sleep(time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// endTargets has targets end under the request, each of them at another gateway, which is
-// told to others within a second.
+// endTargets makes targets end under the request, each at another gateway, which notifies
+// others within a second.
 func endTargets(gateways []*gateway, targets int) {
 	for i := range targets {
 		gateways[i%len(gateways)].fatal.RecordEnd(fatalRequest, fmt.Sprint("t", i), 0)
@@ -42,11 +42,12 @@
 	}
 }
 
-// No gateway sees more than one of the three ends.
-func TestAFleetLearnsOfAFatalRequestWithinMoments(t *testing.T) {
+// No gateway sees more than one of the three target ends, so the quarantine depends on
+// their exchange.
+func TestFatalRequestReachesFleetWithin100ms(t *testing.T) {
 	for _, size := range []int{3, 17, fleetSize(100)} {
-		measure(t, size, 2, func(g *WithT, fleet *bigFleet) {
-			rate := func() float64 { // of writes, a second and gateway
+		onFleet(t, size, 2, func(g *WithT, fleet *virtualFleet) {
+			rate := func() float64 { // of writes per second and gateway
 				writes := fleet.fabric.writes.Load()
 				time.Sleep(5 * time.Second)
 				return float64(fleet.fabric.writes.Load()-writes) / 5 / float64(size)
@@ -54,44 +55,44 @@
 			before := rate()
 			endTargets(fleet.gateways, 2)
 			time.Sleep(time.Second)
-			g.Expect(slices.ContainsFunc(fleet.gateways, (*gateway).refuses)).To(BeFalse())
+			g.Expect(slices.ContainsFunc(fleet.gateways, (*gateway).hasQuarantined)).To(BeFalse())
 			fleet.gateways[size-1].fatal.RecordEnd(fatalRequest, "t2", 0)
-			took := untilAllRefuse(fleet.gateways)
-			fleet.t.Logf("refused everywhere after %v", took)
+			took := untilQuarantined(fleet.gateways)
+			fleet.t.Logf("quarantined everywhere after %v", took)
 			g.Expect(took).To(BeNumerically("<", 100*time.Millisecond))
 
 			after := rate()
-			fleet.t.Logf("%.0f writes a second and gateway, %.0f before", after, before)
-			g.Expect(after).To(BeNumerically("<", 1.3*before), "no more is said of it")
+			fleet.t.Logf("%.0f writes per second and gateway, %.0f before", after, before)
+			g.Expect(after).To(BeNumerically("<", 1.3*before), "no further traffic")
 		})
 	}
 }
 
-func TestAGatewayThatStartsOrWasCutOffLearnsOfAFatalRequest(t *testing.T) {
-	measure(t, fleetSize(30), 2, func(g *WithT, fleet *bigFleet) {
-		part := fleet.share(0.3)
+func TestStartedOrPartitionedGatewayReceivesFatalRequest(t *testing.T) {
+	onFleet(t, fleetSize(30), 2, func(g *WithT, fleet *virtualFleet) {
+		part := fleet.sample(0.3)
 		fleet.cutOff(part, false)
 		time.Sleep(time.Second)
 		endTargets(without(fleet.gateways, part), 3)
-		g.Expect(untilAllRefuse(without(fleet.gateways, part))).To(BeNumerically("<", time.Second))
-		g.Expect(slices.ContainsFunc(part, (*gateway).refuses)).To(BeFalse())
+		g.Expect(untilQuarantined(without(fleet.gateways, part))).To(BeNumerically("<", time.Second))
+		g.Expect(slices.ContainsFunc(part, (*gateway).hasQuarantined)).To(BeFalse())
 		fleet.fabric.setCut(func(string, string) bool { return false })
-		took := untilAllRefuse(part)
+		took := untilQuarantined(part)
 		fleet.t.Logf("after the cut: %v", took)
 		g.Expect(took).To(BeNumerically("<", 3*time.Second))
 
 		fleet.gateways[0].kill()
 		time.Sleep(100 * time.Millisecond)
 		fleet.gateways[0] = fleet.start(0, false)
-		took = untilAllRefuse(fleet.gateways[:1])
+		took = untilQuarantined(fleet.gateways[:1])
 		fleet.t.Logf("after a start: %v", took)
 		g.Expect(took).To(BeNumerically("<", time.Second))
 	})
 }
 
-// 64 targets end at once, each with eight requests under way: a hall loses power.
-func TestManyEndsAtOnceAreSentInBoundedMessages(t *testing.T) {
-	measure(t, 17, 1, func(g *WithT, fleet *bigFleet) {
+// 64 targets end at once, each with eight requests in flight, as when a hall loses power.
+func TestManySimultaneousTargetEndsTakeBoundedTraffic(t *testing.T) {
+	onFleet(t, 17, 1, func(g *WithT, fleet *virtualFleet) {
 		bytes := fleet.fabric.all.Load()
 		for i := range 512 {
 			request := quarantine.Request{Fingerprint: fingerprint.Fingerprint{Content: fmt.Sprint("r", i), Caller: "caller"}, Service: "shop"}
@@ -103,10 +104,10 @@
 				gw.fatal.Tick()
 			}
 		}
-		told := float64(fleet.fabric.all.Load()-bytes) / 17
-		fleet.t.Logf("%.0f bytes a gateway in 5 s", told)
-		g.Expect(told).To(BeNumerically("<", 1<<20))
+		sent := float64(fleet.fabric.all.Load()-bytes) / 17
+		fleet.t.Logf("%.0f bytes per gateway in 5 s", sent)
+		g.Expect(sent).To(BeNumerically("<", 1<<20))
 		endTargets(fleet.gateways, 3)
-		g.Expect(untilAllRefuse(fleet.gateways)).To(BeNumerically("<", 200*time.Millisecond))
+		g.Expect(untilQuarantined(fleet.gateways)).To(BeNumerically("<", 200*time.Millisecond))
 	})
 }
--- a/internal/gateway/discovery/links_test.go
+++ b/internal/gateway/discovery/links_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// pipes dials connections in memory and keeps the other end of each.
+// pipes dials in-memory connections and keeps the other end of each.
 type pipes struct{ ends []net.Conn }
 
 func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
@@ -20,7 +20,7 @@
 	return near, nil
 }
 
-// withLinks runs f on connections whose duty goes on until f returns.
+// withLinks runs f on links whose background task runs until f returns.
 func withLinks(t *testing.T, f func(g *WithT, ls *links, p *pipes)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipes{}
@@ -31,7 +31,7 @@
 		f(NewWithT(t), ls, p)
 		stop()
 		NewWithT(t).Expect(<-done).To(Succeed())
-		NewWithT(t).Expect(ls.idle()).To(BeZero(), "none stays open")
+		NewWithT(t).Expect(ls.idleCount()).To(BeZero(), "none stays open")
 	})
 }
 
@@ -42,22 +42,22 @@
 	ls.release(l, broke)
 }
 
-func TestRepeatedQuestionsToAPeerDoNotDialEachTime(t *testing.T) {
+func TestIdleConnectionIsReusedUntilTimeout(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		for range 10 {
 			use(g, ls, "peer", false)
-			time.Sleep(idleFor - 2*idleCheckEvery)
+			time.Sleep(idleTimeout - 2*idleCheckEvery)
 		}
 		g.Expect(p.ends).To(HaveLen(1))
-		time.Sleep(idleFor + idleCheckEvery)
+		time.Sleep(idleTimeout + idleCheckEvery)
 		synctest.Wait()
-		g.Expect(ls.open).To(BeEmpty(), "closed once nobody has used it for that time")
+		g.Expect(ls.open).To(BeEmpty(), "closed once it was unused for that time")
 		use(g, ls, "peer", false)
 		g.Expect(p.ends).To(HaveLen(2))
 	})
 }
 
-func TestAConnectionThatBrokeIsNotUsedAgain(t *testing.T) {
+func TestBrokenConnectionIsNotReused(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		use(g, ls, "peer", true)
 		use(g, ls, "peer", false)
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestAnIdleConnectionThatThePeerClosedIsNotUsedAgain(t *testing.T) {
+func TestIdleConnectionClosedByPeerIsNotReused(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		use(g, ls, "peer", false)
 		g.Expect(p.ends[0].Close()).To(Succeed())
@@ -75,21 +75,21 @@
 	})
 }
 
-func TestFewIdleConnectionsAreKept(t *testing.T) {
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, _ *pipes) {
 		for i := range 3 * maxIdle {
 			use(g, ls, "peer-"+strconv.Itoa(i), false)
 		}
-		g.Expect(ls.idle()).To(Equal(maxIdle))
+		g.Expect(ls.idleCount()).To(Equal(maxIdle))
 	})
 }
 
-func TestAConnectionInUseIsNotClosedAsIdle(t *testing.T) {
+func TestConnectionInUseIsNotClosedAsIdle(t *testing.T) {
 	withLinks(t, func(g *WithT, ls *links, p *pipes) {
 		l, err := ls.acquire(context.Background(), "peer", time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
 		use(g, ls, "peer", false)
-		time.Sleep(3 * idleFor)
+		time.Sleep(3 * idleTimeout)
 		use(g, ls, "peer", false)
 		g.Expect(p.ends).To(HaveLen(1))
 		ls.release(l, false)
--- a/internal/gateway/discovery/ping.go
+++ b/internal/gateway/discovery/ping.go
@@ -7,42 +7,42 @@
 	"github.com/sprucecrank/sprucecrank/internal/pause"
 )
 
-// ping is the duty of confirming, between the answers of the watches, that the
-// store can be reached, as long as other gateways rely on this one: a watch
-// whose path is cut waits in silence.
+// ping is the background task that confirms, between the responses of the watches, that the
+// store is reachable, as long as other gateways rely on this one: a watch whose connection
+// is cut keeps waiting without an error.
 func (f *Follower) ping(ctx context.Context) error {
-	for pause.For(ctx, f.options.Timing.Ping) {
+	for pause.For(ctx, f.options.Timing.PingInterval) {
 		began := f.options.Clock()
-		if !f.isRelied(began) {
+		if !f.hasDependents(began) {
 			continue
 		}
-		pingCtx, cancel := context.WithTimeout(ctx, f.options.Timing.SilentAfter)
+		pingCtx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 		err := f.options.Source.Ping(pingCtx)
 		cancel()
-		f.pinged(began, err)
+		f.recordPing(began, err)
 	}
 	return nil
 }
 
-// isRelied says whether this gateway's watches are in order and others ask for
+// hasDependents reports whether this gateway's watches are working and others poll it for
 // what they report.
-func (f *Follower) isRelied(now time.Time) bool {
+func (f *Follower) hasDependents(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fresh.WatchesLive(now) && f.isAsked(now)
 }
 
-// isAsked says whether other gateways learn of updates from this one: they ask it, or it
-// is linked to one; the lock is held.
+// isAsked reports whether other gateways receive updates from this one: they poll it, or it
+// has neighbours; the lock is held.
 func (f *Follower) isAsked(now time.Time) bool {
 	timing := f.options.Timing
-	asked := !f.asked.IsZero() && now.Sub(f.asked) < timing.Poll+timing.PollSlack
-	return asked || f.neighbours != [neighbours]string{}
+	asked := !f.lastAskedAt.IsZero() && now.Sub(f.lastAskedAt) < timing.PollWait+timing.PollSlack
+	return asked || f.neighbourIDs != [neighbourCount]string{}
 }
 
-// pinged works in how a ping that began at a moment ended. One that failed is
-// counted and no more: the watches find out whether the store is lost.
-func (f *Follower) pinged(began time.Time, err error) {
+// recordPing records the result of a ping that began at a time. A failure is only counted:
+// the watches detect whether the store is lost.
+func (f *Follower) recordPing(began time.Time, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
@@ -50,5 +50,5 @@
 		return
 	}
 	f.options.Metrics.StoreCall(callPing, callAnswered)
-	f.wakeIfOld(f.fresh.RecordPing(began, f.options.Self.ID))
+	f.wakeIfStale(f.fresh.RecordPing(began, f.options.Self.ID))
 }
--- a/internal/gateway/discovery/publish.go
+++ b/internal/gateway/discovery/publish.go
@@ -9,18 +9,18 @@
 	"github.com/sprucecrank/sprucecrank/core/member"
 )
 
-// fromStore names the store in log lines as where something was learnt, fromGlance a
-// stale read at it, fromTarget a target that said it of itself.
+// fromStore names the store in log lines as the origin of a change, fromStaleRead a stale
+// read of it, and fromTarget a target that signalled the change itself.
 const (
 	fromStore     = "store"
 	fromStaleRead = "glance"
 	fromTarget    = "target"
 )
 
-// change changes the catalog and says what of it changed.
+// A change modifies the catalog and reports what of it changed.
 type change func(c *catalog.Catalog) catalog.Changed
 
-// apply makes a change to the catalog and publishes what came of it.
+// apply makes a change to the catalog and publishes the result.
 func (f *Follower) apply(from string, make change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,21 +38,21 @@
 	if changed.Any() || f.withheld {
 		f.publish(from)
 	}
-	f.noteLife(f.options.Clock(), before)
+	f.noteEpoch(f.options.Clock(), before)
 	if f.catalog.Position() != before {
 		f.wake()
 	}
 }
 
-// Drain takes in that targets said themselves, in answers, that they leave.
-func (f *Follower) Drain(lives []catalog.Life) {
-	lives = slices.DeleteFunc(lives, f.Snapshot().IsLeaving) // they say so in each answer
-	if len(lives) == 0 {
+// Drain marks targets as leaving that signalled in responses that they leave.
+func (f *Follower) Drain(incarnations []catalog.Life) {
+	incarnations = slices.DeleteFunc(incarnations, f.Snapshot().IsLeaving) // they signal it in each response
+	if len(incarnations) == 0 {
 		return
 	}
 	f.apply(fromTarget, func(c *catalog.Catalog) (changed catalog.Changed) {
-		for _, life := range lives {
-			changed.Targets = c.MarkLeaving(life) || changed.Targets
+		for _, incarnation := range incarnations {
+			changed.Targets = c.MarkLeaving(incarnation) || changed.Targets
 		}
 		return changed
 	})
@@ -69,10 +69,10 @@
 	f.options.Log.Info("configuration in force", "version", table.Version(), "from", from)
 }
 
-// publish makes the snapshot that the data path uses: without targets that leave, and
-// without those of halls that are evacuated; the lock is held.
+// publish creates the snapshot for the data path, without targets that leave and without
+// those of evacuated halls; the lock is held.
 func (f *Follower) publish(from string) {
-	before := f.believed.Load().ByService()
+	before := f.published.Load().ByService()
 	targets, evacuated := map[string][]catalog.Target{}, map[string]int{}
 	leaving := map[catalog.Life]bool{}
 	known := map[string][]catalog.Target{}
@@ -88,14 +88,14 @@
 		}
 	}
 	assigned := f.assign(known, targets)
-	f.believed.Store(snapshot.New(f.table, targets).WithEvacuated(evacuated).WithRollouts(assigned).WithLeaving(leaving))
+	f.published.Store(snapshot.New(f.table, targets).WithEvacuated(evacuated).WithRollouts(assigned).WithLeaving(leaving))
 	f.logTargets(from, before, targets)
 	if f.table != nil && f.catalog.HasTargets() {
-		f.once.Do(func() { close(f.ready) })
+		f.readyOnce.Do(func() { close(f.ready) })
 	}
 }
 
-// logEvacuations writes which halls are evacuated now; the lock is held.
+// logEvacuations logs which halls are evacuated now; the lock is held.
 func (f *Follower) logEvacuations(from string) {
 	halls := []string{}
 	for _, e := range f.catalog.Evacuations() {
@@ -104,53 +104,55 @@
 	f.options.Log.Info("evacuations changed", "halls", halls, "revision", f.catalog.Position().Evacuations, "from", from)
 }
 
-// EvacuatedHalls is how many halls are believed to be evacuated.
-func (f *Follower) EvacuatedHalls() int {
+// EvacuatedHallCount returns how many halls are evacuated according to the known state.
+func (f *Follower) EvacuatedHallCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.catalog.Evacuations())
 }
 
-// First lists up to n gateways that rank first, this one among them if it does.
-func (f *Follower) First(n int) []member.Box {
+// TopRanked returns up to n gateways that rank first, which may include this one.
+func (f *Follower) TopRanked(n int) []member.Box {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.TopRanked(f.options.Clock(), n)
 }
 
-// Ranked is First as sightings that may be passed on to other gateways.
-func (f *Follower) Ranked(n int) []peers.Sighting {
+// TopRankedSightings returns the gateways of TopRanked as sightings that may be forwarded
+// to other gateways.
+func (f *Follower) TopRankedSightings(n int) []peers.Sighting {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.RankedSightings(f.options.Clock(), n)
 }
 
-// Sighted takes in whom another gateway has learnt of.
-func (f *Follower) Sighted(sightings []peers.Sighting) {
+// MergeSightings adds the gateways that another gateway has seen to the view.
+func (f *Follower) MergeSightings(sightings []peers.Sighting) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.view.MergeSightings(f.options.Clock(), sightings)
 }
 
-// Gateways is about how many gateways there are, this one among them.
-func (f *Follower) Gateways() int {
+// GatewayCount returns the approximate number of gateways, including this one.
+func (f *Follower) GatewayCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view.EstimateFleetSize(f.options.Clock())
 }
 
-// logTargets writes which targets take requests now that did not before, and
-// which no longer do.
+// logTargets logs which targets started and which stopped taking requests with this
+// snapshot.
 func (f *Follower) logTargets(from string, before, now map[string][]catalog.Target) {
-	in, out := lacking(before, now), lacking(now, before)
+	in, out := missingIDs(before, now), missingIDs(now, before)
 	if len(in)+len(out) == 0 {
 		return
 	}
 	f.options.Log.Info("targets changed", "in", in, "out", out, "revision", f.catalog.Position().Targets, "from", from)
 }
 
-// lacking lists the ids of the targets in all that some lacks, or has in another life.
-func lacking(some, all map[string][]catalog.Target) []string {
+// missingIDs returns the ids of the targets in all that some lacks, or holds in another
+// incarnation.
+func missingIDs(some, all map[string][]catalog.Target) []string {
 	var ids []string
 	for service, targets := range all {
 		held := make(map[catalog.Life]bool, len(some[service]))
@@ -167,8 +169,8 @@
 	return ids
 }
 
-// loggedAge is the age of what is believed in seconds for a log line, -1 where
-// nothing was confirmed; the lock is held.
+// loggedAge returns the age of the known state in seconds for a log line, -1 if nothing was
+// confirmed; the lock is held.
 func (f *Follower) loggedAge() float64 {
 	if !f.fresh.Confirmed() {
 		return -1
--- a/internal/gateway/discovery/read.go
+++ b/internal/gateway/discovery/read.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// minLook and maxLook bound the time between two looks at whether the reading
-	// has fallen to this gateway.
-	minLook = 20 * time.Millisecond
-	maxLook = time.Second
-	// firstRetry is the first pause after a call that failed, and preferredRetry
-	// and otherRetry the longest, for gateways that others turn to first and for
-	// others. The store's rates bound what a whole fleet may try.
-	firstRetry     = 100 * time.Millisecond
-	preferredRetry = time.Second
-	otherRetry     = 2 * time.Second
-	// firstWait is how long the first watch waits: hardly at all, so that what is
-	// believed is confirmed at once.
-	firstWait = time.Millisecond
-	// minWaitShare is the least share of its longest time that a watch waits: the
-	// waits vary, so that the watches of gateways don't end together.
+	// minRoleCheckInterval and maxRoleCheckInterval bound the time between two checks
+	// whether this gateway has to read the store.
+	minRoleCheckInterval = 20 * time.Millisecond
+	maxRoleCheckInterval = time.Second
+	// initialRetry is the first pause after a failed call. maxPreferredRetry and
+	// maxOtherRetry are the longest, for the gateways that rank first as readers and for
+	// all others. The store's rate limits bound the retries of a whole fleet.
+	initialRetry      = 100 * time.Millisecond
+	maxPreferredRetry = time.Second
+	maxOtherRetry     = 2 * time.Second
+	// firstWatchWait is how long the first watch waits: nearly not at all, so that the
+	// known state is confirmed at once.
+	firstWatchWait = time.Millisecond
+	// minWaitShare is the least share of its longest time that a watch waits: the waits
+	// vary, so that the watches of different gateways don't end at the same time.
 	minWaitShare = 0.8
 )
 
@@ -36,53 +36,53 @@
 type watch struct {
 	name  string
 	state *freshness.Watch
-	// until is how long no call should be made though the reading falls to this
-	// gateway; the lock is held.
-	until func(now time.Time) time.Duration
-	// call makes one call; whole asks for a list and not a watch.
+	// delay returns for how long no call should be made although this gateway is a reader;
+	// the lock is held.
+	delay func(now time.Time) time.Duration
+	// call makes one call; whole requests a list instead of a watch.
 	call func(ctx context.Context, whole bool) error
-	// urgent says that its changes are few and waited for: the next call follows at once,
-	// without a pause in which more may gather.
+	// urgent says that its changes are rare and needed at once: the next call follows
+	// immediately, without a pause in which more may accumulate.
 	urgent bool
 }
 
-// readConfig is the duty of watching the configuration in the store.
+// readConfig is the background task that watches the configuration in the store.
 func (f *Follower) readConfig(ctx context.Context) error {
-	return f.read(ctx, &watch{
+	return f.runWatch(ctx, &watch{
 		name: "config", state: f.fresh.Config(), call: f.callConfig,
-		until: func(time.Time) time.Duration { return 0 },
+		delay: func(time.Time) time.Duration { return 0 },
 	})
 }
 
-// readTargets is the duty of watching the targets in the store.
+// readTargets is the background task that watches the targets in the store.
 func (f *Follower) readTargets(ctx context.Context) error {
-	return f.read(ctx, &watch{name: "targets", state: f.fresh.Targets(), call: f.callTargets, until: f.untilTargets})
+	return f.runWatch(ctx, &watch{name: "targets", state: f.fresh.Targets(), call: f.callTargets, delay: f.untilTargetsDue})
 }
 
-// readEvacuations is the duty of watching the evacuations in the store.
+// readEvacuations is the background task that watches the evacuations in the store.
 func (f *Follower) readEvacuations(ctx context.Context) error {
-	return f.read(ctx, &watch{name: "evacuations", state: f.fresh.Evacuations(), call: f.callEvacuations, until: f.untilConfigAnswers})
+	return f.runWatch(ctx, &watch{name: "evacuations", state: f.fresh.Evacuations(), call: f.callEvacuations, delay: f.untilConfigAnswers})
 }
 
-// readRollouts is the duty of watching the rollouts in the store.
+// readRollouts is the background task that watches the rollouts in the store.
 func (f *Follower) readRollouts(ctx context.Context) error {
-	return f.read(ctx, &watch{name: "rollouts", state: f.fresh.Rollouts(), call: f.callRollouts, until: f.untilConfigAnswers, urgent: true})
+	return f.runWatch(ctx, &watch{name: "rollouts", state: f.fresh.Rollouts(), call: f.callRollouts, delay: f.untilConfigAnswers, urgent: true})
 }
 
-// read makes the calls of a watch while the reading falls to this gateway.
-func (f *Follower) read(ctx context.Context, w *watch) error {
+// runWatch makes the calls of a watch while this gateway is a reader.
+func (f *Follower) runWatch(ctx context.Context, w *watch) error {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = firstRetry
+	retry.InitialInterval = initialRetry
 	whole := false
 	for ctx.Err() == nil {
-		if wait := f.takeRole(w); wait > 0 {
-			if !f.idle(ctx, wait) {
+		if wait := f.updateRole(w); wait > 0 {
+			if !f.waitForChange(ctx, wait) {
 				return nil
 			}
 			continue
 		}
 		before := f.position()
-		err := f.reach(ctx, w, whole)
+		err := f.callStore(ctx, w, whole)
 		whole = errors.Is(err, ErrGone)
 		changed := f.position() != before
 		if wait := f.untilNextCall(err, changed && !w.urgent, retry); wait > 0 && !pause.For(ctx, wait) {
@@ -92,60 +92,59 @@
 	return nil
 }
 
-// untilNextCall is the pause after a call of a watch that ended so: none where a list
-// follows at once, one in which more changes may gather, or one that grows with each
-// failure.
+// untilNextCall returns the pause after a call of a watch that ended with an error or none:
+// 0 if a list is read next, the batch delay after changes, or an exponential back-off after
+// a failure.
 func (f *Follower) untilNextCall(err error, gathers bool, retry *backoff.ExponentialBackOff) time.Duration {
 	switch {
 	case err == nil && gathers:
 		retry.Reset()
-		return f.batch()
+		return f.batchDelay()
 	case err == nil:
 		retry.Reset()
 		return 0
 	case errors.Is(err, ErrGone), errors.Is(err, errRestoring):
 		return 0
 	default:
-		retry.MaxInterval = f.longestRetry()
+		retry.MaxInterval = f.maxRetry()
 		return retry.NextBackOff()
 	}
 }
 
-// reach makes one call of a watch. After one that failed it pings first: that
-// costs less while the store stays away.
-func (f *Follower) reach(ctx context.Context, w *watch, whole bool) error {
+// callStore makes one call of a watch. After a failed call it pings the store first, which
+// costs less while the store remains unreachable.
+func (f *Follower) callStore(ctx context.Context, w *watch, whole bool) error {
 	timing := f.options.Timing
-	if failedBefore := f.begin(w); failedBefore {
-		pingCtx, cancel := context.WithTimeout(ctx, timing.SilentAfter)
+	if failedBefore := f.beginCall(w); failedBefore {
+		pingCtx, cancel := context.WithTimeout(ctx, timing.StaleAfter)
 		defer cancel()
 		if err := f.options.Source.Ping(pingCtx); err != nil {
-			f.end(w, err)
+			f.endCall(w, err)
 			return err
 		}
 	}
-	callCtx, cancel := context.WithTimeout(ctx, timing.Watch+timing.WatchSlack)
+	callCtx, cancel := context.WithTimeout(ctx, timing.WatchWait+timing.WatchSlack)
 	defer cancel()
 	err := w.call(callCtx, whole)
-	f.end(w, err)
+	f.endCall(w, err)
 	return err
 }
 
-// begin notes that a call begins and says whether the one before it failed.
-func (f *Follower) begin(w *watch) (failedBefore bool) {
+// beginCall records the start of a call and reports whether the previous one failed.
+func (f *Follower) beginCall(w *watch) (failedBefore bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
 	if !w.state.Synced() && !f.fresh.Failing() {
-		// Not each time that it tries again: gateways that are turned away for long must
-		// not hold back those that are not.
+		// Not at each retry: gateways that the store refuses for long must not hold back
+		// those that it does not.
 		f.noteTry(now)
 	}
 	w.state.Begin(now)
 	return w.state.Failing()
 }
 
-// Results of a call to the store, and the calls that are no watches, as metrics name
-// them.
+// Results of calls to the store, and the calls other than watches, as named in metrics.
 const (
 	callPing      = "ping"
 	callStaleRead = "glance"
@@ -153,8 +152,8 @@
 	callFailed    = "failed"
 )
 
-// end works in how a call of a watch ended.
-func (f *Follower) end(w *watch, err error) {
+// endCall records the result of a call of a watch.
+func (f *Follower) endCall(w *watch, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.state.End()
@@ -164,9 +163,9 @@
 		f.options.Metrics.StoreCall(w.name, callAnswered)
 		f.noteReturn(now)
 		f.setFailing(w, nil)
-		f.wakeIfOld(f.fresh.RecordAnswer(w.state, now, f.options.Self.ID))
+		f.wakeIfStale(f.fresh.RecordAnswer(w.state, now, f.options.Self.ID))
 	case errors.Is(err, ErrGone):
-		// The list that is asked for next shows whether the store is back.
+		// The list that is requested next shows whether the store is back.
 		f.options.Metrics.StoreCall(w.name, callAnswered)
 	case errors.Is(err, errRestoring):
 		f.options.Metrics.StoreCall(w.name, callAnswered)
@@ -174,8 +173,8 @@
 	default:
 		f.options.Metrics.StoreCall(w.name, callFailed)
 		f.setFailing(w, err)
-		f.tried.Failed = true
-		if f.tries.Add(now, f.tried) {
+		f.ownTry.Failed = true
+		if f.tries.Add(now, f.ownTry) {
 			f.wake() // others need not wait for this one
 		}
 		f.fresh.RecordFailure(now)
@@ -183,14 +182,14 @@
 	}
 }
 
-// setFailing notes whether the latest call of a watch failed, and logs a change;
-// the lock is held.
+// setFailing records whether the latest call of a watch failed, and logs a change; the lock
+// is held.
 func (f *Follower) setFailing(w *watch, err error) {
 	if !w.state.SetFailing(err != nil) {
 		return
 	}
 	f.options.Log.Info("store", "watch", w.name, "lost", err != nil, "error", errorText(err))
-	f.wake() // those that ask this gateway, and the other watch, look anew
+	f.wake() // callers that wait for a reply, and the other watches, check again
 }
 
 func errorText(err error) string {
@@ -200,34 +199,34 @@
 	return err.Error()
 }
 
-// batch is the pause after an update from the store. Where no other gateway asks
-// for them, nothing is lost on their way, and more may gather.
-func (f *Follower) batch() time.Duration {
+// batchDelay returns the pause after an update from the store. While no other gateway polls
+// this one, no further hops follow, and more updates may accumulate.
+func (f *Follower) batchDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isAsked(f.options.Clock()) {
-		return f.options.Timing.Batch
+		return f.options.Timing.BatchDelay
 	}
-	return f.options.Timing.AloneBatch
+	return f.options.Timing.SoloBatchDelay
 }
 
-// longestRetry is the longest pause between two calls while the store fails.
-func (f *Follower) longestRetry() time.Duration {
+// maxRetry returns the longest pause between two calls while the store fails.
+func (f *Follower) maxRetry() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if reader.IsPreferred(f.rank(f.options.Clock())) {
-		return preferredRetry
+		return maxPreferredRetry
 	}
-	return otherRetry
+	return maxOtherRetry
 }
 
-// idle waits until the reading may fall to this gateway: after a time, or when
-// something changes.
-func (f *Follower) idle(ctx context.Context, wait time.Duration) bool {
+// waitForChange waits until this gateway may have to read the store: for a time, or until
+// something changes. It returns false if the context ended.
+func (f *Follower) waitForChange(ctx context.Context, wait time.Duration) bool {
 	f.mu.Lock()
 	changed := f.changed
 	f.mu.Unlock()
-	timer := time.NewTimer(min(max(wait, minLook), maxLook))
+	timer := time.NewTimer(min(max(wait, minRoleCheckInterval), maxRoleCheckInterval))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -238,13 +237,13 @@
 	return true
 }
 
-// waitFor is how long the next call of a watch waits for changes.
-func (f *Follower) waitFor(state *freshness.Watch) time.Duration {
+// watchWait returns how long the next call of a watch waits for changes.
+func (f *Follower) watchWait(state *freshness.Watch) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !state.Synced() {
-		return firstWait
+		return firstWatchWait
 	}
 	share := minWaitShare + (1-minWaitShare)*rand.Float64()
-	return time.Duration(share * float64(f.options.Timing.Watch))
+	return time.Duration(share * float64(f.options.Timing.WatchWait))
 }
--- a/internal/gateway/discovery/rewind.go
+++ b/internal/gateway/discovery/rewind.go
@@ -6,28 +6,29 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// A store may come back from a copy that is some seconds old: it lacks what was written
-// since, and has back what had gone. What its operator and the targets wrote they write
-// again; until they have, its updates are taken for those that are known and no others
-// (core/gateway/catalog), and then all is read again.
+// A store may be restored from a copy that is some seconds old: it lacks what was written
+// since, and contains again what had been deleted. Its operator and the targets write their
+// objects again. Until they have, the store's updates are applied only to objects that are
+// already known (core/gateway/catalog); after that, everything is read again.
 
-// rereadFactor is by how much longer than the time after which entries of live targets are
-// there again (restore_within_s) the second reading waits: entries of targets that are gone,
-// which nobody renews, lapse meanwhile. Targets renew theirs some three times before
-// they lapse, and make them again within one or two.
+// rereadFactor is by how much longer than the time after which entries of running targets
+// are there again (restore_within_s) the second read waits, so that entries of targets that
+// are gone, which nobody renews, expire first. Targets renew their entries about three
+// times before they would expire, and write lost ones again within one or two renewal
+// intervals.
 const rereadFactor = 2.5
 
-// rereads are when each kind must be read whole again; zero for never.
+// rereads holds when each kind must be read in full again; zero for never.
 type rereads struct {
 	targets, evacuations, rollouts time.Time
 }
 
-// noteLife notes, and logs, that something is known of a later life of the store than it was
-// at a position; the lock is held.
-func (f *Follower) noteLife(now time.Time, before catalog.Position) {
+// noteEpoch records, and logs, that the position of some kind belongs to a later epoch of
+// the store than it did before; the lock is held.
+func (f *Follower) noteEpoch(now time.Time, before catalog.Position) {
 	after := f.catalog.Position()
-	due := now.Add(time.Duration(rereadFactor * float64(f.options.Timing.Restore)))
-	came := false
+	due := now.Add(time.Duration(rereadFactor * float64(f.options.Timing.RestoreWithin)))
+	rewound := false
 	for _, kind := range []struct {
 		due           *time.Time
 		before, after uint64
@@ -37,16 +38,16 @@
 		{&f.rereads.rollouts, before.Rollouts, after.Rollouts},
 	} {
 		if kind.before > 0 && catalog.StoreLife(kind.after) > catalog.StoreLife(kind.before) {
-			*kind.due, came = due, true
+			*kind.due, rewound = due, true
 		}
 	}
-	if came {
+	if rewound {
 		f.options.Log.Warn("store came back from an older copy", "life", catalog.StoreLife(max(after.Targets, after.Evacuations, after.Rollouts)), "read_again_in_s", due.Sub(now).Seconds())
 	}
 }
 
-// mustReread says whether it is time to read a kind whole again, and takes it that this is
-// done now.
+// mustReread reports whether it is time to read a kind in full again; the caller must then
+// do so, since the due time is cleared.
 func (f *Follower) mustReread(due *time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/discovery/rollout_test.go
+++ b/internal/gateway/discovery/rollout_test.go
@@ -21,13 +21,13 @@
 
 var errRevision = errors.New("the object has another revision")
 
-// putRollout writes an order, or how far it has come.
+// putRollout writes an order, or its progress.
 func (s *fakeStore) putRollout(r catalog.Rollout) {
-	s.change(func() { s.putLocked(r) })
+	s.change(func() { s.putRolloutLocked(r) })
 }
 
-// putLocked is putRollout; the lock is held.
-func (s *fakeStore) putLocked(r catalog.Rollout) catalog.Rollout {
+// putRolloutLocked is putRollout; the lock is held.
+func (s *fakeStore) putRolloutLocked(r catalog.Rollout) catalog.Rollout {
 	r.Revision = s.revision
 	s.rollouts[r.Service] = r
 	s.rolloutLog = append(s.rolloutLog, catalog.RolloutChange{Revision: s.revision, Rollout: r})
@@ -42,23 +42,23 @@
 	})
 }
 
-// recordRollout is a write on condition of the revision.
-func (s *fakeStore) recordRollout(r catalog.Rollout) (discovery.Record, error) {
+// recordRollout writes an order on condition of its revision.
+func (s *fakeStore) recordRollout(r catalog.Rollout) (discovery.RecordResult, error) {
 	s.rolloutCalls.Add(1)
-	record, err := discovery.Record{End: discovery.RecordRefused}, errRevision
+	record, err := discovery.RecordResult{Outcome: discovery.RecordRefused}, errRevision
 	s.change(func() {
 		now, ok := s.rollouts[r.Service]
 		if !ok || now.Revision != r.Revision {
 			record.Rollout = &now
 			return
 		}
-		now = s.putLocked(r)
-		record, err = discovery.Record{End: discovery.RecordDone, Rollout: &now}, nil
+		now = s.putRolloutLocked(r)
+		record, err = discovery.RecordResult{Outcome: discovery.RecordDone, Rollout: &now}, nil
 	})
 	return record, err
 }
 
-// allRollouts lists what stands; the lock is held.
+// allRollouts lists the present orders; the lock is held.
 func (s *fakeStore) allRollouts() []catalog.Rollout {
 	var out []catalog.Rollout
 	for _, service := range slices.Sorted(maps.Keys(s.rollouts)) {
@@ -67,11 +67,12 @@
 	return out
 }
 
-// rollingOut is the source of a gateway that watches rollouts as well as evacuations.
-func (a *access) rollingOut() discovery.Source {
-	source := a.following()
+// sourceWithRollouts is the source of a gateway that watches rollouts as well as
+// evacuations.
+func (a *access) sourceWithRollouts() discovery.Source {
+	source := a.sourceWithEvacuations()
 	source.Rollouts = func(ctx context.Context) (discovery.List[catalog.Rollout], error) {
-		if err := a.reach(ctx); err != nil {
+		if err := a.call(ctx); err != nil {
 			return discovery.List[catalog.Rollout]{}, err
 		}
 		a.store.mu.Lock()
@@ -83,7 +84,7 @@
 		return source.Rollouts(ctx)
 	}
 	source.WatchRollouts = func(ctx context.Context, from uint64, wait time.Duration) (discovery.Changes[catalog.RolloutChange], error) {
-		if err := a.await(ctx, from, wait); err != nil {
+		if err := a.awaitChange(ctx, from, wait); err != nil {
 			return discovery.Changes[catalog.RolloutChange]{}, err
 		}
 		defer a.store.mu.Unlock()
@@ -98,17 +99,17 @@
 		}
 		return changes, nil
 	}
-	source.RecordRollout = func(ctx context.Context, r catalog.Rollout) (discovery.Record, error) {
-		if err := a.reach(ctx); err != nil {
-			return discovery.Record{}, err
+	source.RecordRollout = func(ctx context.Context, r catalog.Rollout) (discovery.RecordResult, error) {
+		if err := a.call(ctx); err != nil {
+			return discovery.RecordResult{}, err
 		}
 		return a.store.recordRollout(r)
 	}
 	return source
 }
 
-// permille is the share that a gateway believes the version of a service to take; -1
-// where there is no order.
+// permille returns the share that a service's ordered version takes according to a gateway;
+// -1 if there is no order.
 func (g *gateway) permille(service string) int {
 	for _, r := range g.Rollouts() {
 		if r.Service == service {
@@ -118,10 +119,10 @@
 	return -1
 }
 
-// untilShare is how long it takes until all of some gateways believe in a share.
-func (f *bigFleet) untilShare(gateways []*gateway, permille int) time.Duration {
+// untilShare returns the time until all of some gateways know a share.
+func (f *virtualFleet) untilShare(gateways []*gateway, permille int) time.Duration {
 	began := time.Now()
-	for time.Since(began) < 2*patience {
+	for time.Since(began) < 2*waitLimit {
 		if !slices.ContainsFunc(gateways, func(g *gateway) bool { return g.permille("shop") != permille }) {
 			break
 		}
@@ -130,84 +131,83 @@
 	return time.Since(began)
 }
 
-func TestARolloutIsInForceEverywhereWithinMoments(t *testing.T) {
-	measureReading(t, fleetSize(106), 1, (*access).rollingOut, func(g *WithT, fleet *bigFleet) {
-		const calm = 10 // seconds
+func TestRolloutReachesFleetWithin300ms(t *testing.T) {
+	onFleetWithSource(t, fleetSize(106), 1, (*access).sourceWithRollouts, func(g *WithT, fleet *virtualFleet) {
+		const idle = 10 // seconds
 		calls := fleet.store.calls.Load()
-		time.Sleep(calm * time.Second)
-		fleet.t.Logf("%.1f calls a second while all is calm", float64(fleet.store.calls.Load()-calls)/calm)
+		time.Sleep(idle * time.Second)
+		fleet.t.Logf("%.1f calls a second while nothing changes", float64(fleet.store.calls.Load()-calls)/idle)
 		for _, permille := range []int{0, 50, 300, 1000, 0} {
 			fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", Permille: permille})
 			took := fleet.untilShare(fleet.gateways, permille)
 			fleet.t.Logf("%d in force everywhere after %v", permille, took)
-			g.Expect(took).To(BeNumerically("<", 300*time.Millisecond), "no pause in which more may gather")
+			g.Expect(took).To(BeNumerically("<", 300*time.Millisecond), "without a batch delay")
 		}
 		fleet.store.removeRollout("shop")
 		g.Expect(fleet.untilShare(fleet.gateways, -1)).To(BeNumerically("<", 300*time.Millisecond))
 	})
 }
 
-// What happens to the store and to whoever reads it in the moment in which a roll-back is
-// recorded.
-func TestARollbackIsInForceWhateverFailsWhenItIsRecorded(t *testing.T) {
-	for name, fail := range map[string]func(fleet *bigFleet) (bound []*gateway){
-		"those that read are killed": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+// The store or the gateways that read it fail at the moment a rollback is recorded.
+func TestRollbackIsAppliedDespiteFailureAtRecording(t *testing.T) {
+	for name, fail := range map[string]func(fleet *virtualFleet) (bound []*gateway){
+		"readers are killed": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.kill()
 			}
 			return without(fleet.gateways, readers)
 		},
-		"those that read are cut off from all": func(fleet *bigFleet) []*gateway {
-			readers := thatReadNow(fleet.gateways)
+		"readers are cut off from all": func(fleet *virtualFleet) []*gateway {
+			readers := readersByLog(fleet.gateways)
 			for _, gw := range readers {
 				gw.access.silent.Store(true)
 			}
 			fleet.cutOff(readers, false)
 			return without(fleet.gateways, readers)
 		},
-		"the history is forgotten": func(fleet *bigFleet) []*gateway {
+		"history is gone": func(fleet *virtualFleet) []*gateway {
 			fleet.store.forget()
 			return fleet.gateways
 		},
-		"half is cut off, and both halves reach the store": func(fleet *bigFleet) []*gateway {
-			fleet.cutOff(fleet.share(0.5), false)
+		"half is cut off, both halves reach the store": func(fleet *virtualFleet) []*gateway {
+			fleet.cutOff(fleet.sample(0.5), false)
 			return fleet.gateways
 		},
-		"a third is turned away, whoever reads among them": func(fleet *bigFleet) []*gateway {
-			for _, gw := range append(thatReadNow(fleet.gateways), fleet.share(0.35)...) {
+		"store refuses a third and the readers": func(fleet *virtualFleet) []*gateway {
+			for _, gw := range append(readersByLog(fleet.gateways), fleet.sample(0.35)...) {
 				gw.access.down.Store(true)
 			}
 			return fleet.gateways
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			measureReading(t, fleetSize(30), 1, (*access).rollingOut, func(g *WithT, fleet *bigFleet) {
+			onFleetWithSource(t, fleetSize(30), 1, (*access).sourceWithRollouts, func(g *WithT, fleet *virtualFleet) {
 				fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRunning, Permille: 300})
 				g.Expect(fleet.untilShare(fleet.gateways, 300)).To(BeNumerically("<", time.Second))
 				fleet.store.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRolledBack})
 				bound := fail(fleet)
 				took := fleet.untilShare(bound, 0)
 				fleet.t.Logf("in force after %v", took)
-				g.Expect(took).To(BeNumerically("<", fleetTiming.LastAfter+200*time.Millisecond))
+				g.Expect(took).To(BeNumerically("<", fleetTiming.MustReadAfter+200*time.Millisecond))
 			})
 		})
 	}
 }
 
-// Messages of the revision before rollouts were followed, as its gateways send them.
+// Messages as sent by gateways of the revision before rollouts were followed.
 type (
-	BeforePosition struct{ Config, ConfigRevision, Targets, Changed, Evacuations, EvacuationsChanged uint64 }
-	BeforeDelta    struct {
-		To             BeforePosition
+	PreRolloutPosition struct{ Config, ConfigRevision, Targets, Changed, Evacuations, EvacuationsChanged uint64 }
+	PreRolloutDelta    struct {
+		To             PreRolloutPosition
 		Config         []byte
 		Whole          bool
 		Changes        []catalog.Change
 		HasEvacuations bool
 		Evacuations    []catalog.Evacuation
 	}
-	BeforeArgs struct {
-		At                 BeforePosition
+	PreRolloutArgs struct {
+		At                 PreRolloutPosition
 		Wait               time.Duration
 		Age                time.Duration
 		Members            []peers.Sighting
@@ -216,11 +216,11 @@
 		Tries              []reader.Try
 		FollowsEvacuations bool
 	}
-	BeforeReply struct {
+	PreRolloutReply struct {
 		Age       time.Duration
 		Origin    string
 		Held      time.Duration
-		Delta     BeforeDelta
+		Delta     PreRolloutDelta
 		Targets   []byte
 		Busy      bool
 		Members   []peers.Sighting
@@ -230,58 +230,58 @@
 	}
 )
 
-// startRollingOut starts a gateway that follows rollouts.
-func startRollingOut(t *testing.T, id string, a *access, seeds []string) *gateway {
+// startWithRollouts starts a gateway that follows rollouts.
+func startWithRollouts(t *testing.T, id string, a *access, seeds []string) *gateway {
 	t.Helper()
 	listener := listen(t)
 	self := member.Box{ID: id, Peer: listener.Addr().String(), Hall: "hall-0", Start: uint64(time.Now().UnixNano())}
-	return startSource(t, self, listener, a, a.rollingOut(), seeds, timing, false)
+	return startWithSource(t, self, listener, a, a.sourceWithRollouts(), seeds, timing, false)
 }
 
-func TestAGatewayOfTheRevisionBeforeRolloutsIsServed(t *testing.T) {
+func TestPeerWithoutRolloutsIsServed(t *testing.T) {
 	g := NewWithT(t)
 	s := newFilledStore()
 	s.putRollout(catalog.Rollout{Service: "shop", Version: "v2"})
-	gw := startRollingOut(t, "new", &access{store: s}, nil)
+	gw := startWithRollouts(t, "new", &access{store: s}, nil)
 	g.Eventually(gw.Current, eventual).Should(BeTrue())
 	client, err := rpc.Dial("tcp", gw.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = client.Close() }()
-	var told BeforeReply
-	g.Expect(client.Call("Feed.News", BeforeArgs{FollowsEvacuations: true}, &told)).To(Succeed())
-	g.Expect(told.Delta.To.Config).To(Equal(uint64(1)))
-	g.Expect(told.Delta.Whole).To(BeTrue())
+	var reply PreRolloutReply
+	g.Expect(client.Call("Feed.News", PreRolloutArgs{FollowsEvacuations: true}, &reply)).To(Succeed())
+	g.Expect(reply.Delta.To.Config).To(Equal(uint64(1)))
+	g.Expect(reply.Delta.Whole).To(BeTrue())
 	const wait = 200 * time.Millisecond
 	asked := time.Now()
-	args := BeforeArgs{At: told.Delta.To, Wait: wait, Digest: true, Tries: told.Tries, FollowsEvacuations: true}
-	g.Expect(client.Call("Feed.News", args, &BeforeReply{})).To(Succeed())
-	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows: its questions wait")
+	args := PreRolloutArgs{At: reply.Delta.To, Wait: wait, Digest: true, Tries: reply.Tries, FollowsEvacuations: true}
+	g.Expect(client.Call("Feed.News", args, &PreRolloutReply{})).To(Succeed())
+	g.Expect(time.Since(asked)).To(BeNumerically(">=", wait), "it lacks nothing that it follows, so its polls wait")
 }
 
-// gatewayBefore answers as one of the revision before does, whose knowledge is always
-// fresh.
-type gatewayBefore struct{ earlierGateway }
+// preRolloutGateway answers like a gateway of the revision before rollouts, whose state is
+// always fresh.
+type preRolloutGateway struct{ preEvacuationGateway }
 
-func (b *gatewayBefore) News(args BeforeArgs, reply *BeforeReply) error {
-	var earlier EarlierReply
-	at := EarlierPosition{Config: args.At.Config, ConfigRevision: args.At.ConfigRevision, Targets: args.At.Targets, Changed: args.At.Changed}
-	if err := b.earlierGateway.News(EarlierArgs{At: at, Digest: args.Digest}, &earlier); err != nil {
+func (b *preRolloutGateway) News(args PreRolloutArgs, reply *PreRolloutReply) error {
+	var earlier PreEvacuationReply
+	at := PreEvacuationPosition{Config: args.At.Config, ConfigRevision: args.At.ConfigRevision, Targets: args.At.Targets, Changed: args.At.Changed}
+	if err := b.preEvacuationGateway.News(PreEvacuationArgs{At: at, Digest: args.Digest}, &earlier); err != nil {
 		return err
 	}
-	*reply = BeforeReply{Origin: earlier.Origin, Members: earlier.Members}
-	reply.Delta = BeforeDelta{
-		To:     BeforePosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3, Evacuations: 3, EvacuationsChanged: 3},
+	*reply = PreRolloutReply{Origin: earlier.Origin, Members: earlier.Members}
+	reply.Delta = PreRolloutDelta{
+		To:     PreRolloutPosition{Config: 1, ConfigRevision: 3, Targets: 3, Changed: 3, Evacuations: 3, EvacuationsChanged: 3},
 		Config: earlier.Delta.Config, Whole: earlier.Delta.Whole, Changes: earlier.Delta.Changes,
 		HasEvacuations: !args.Digest && args.At.Evacuations < 3,
 	}
 	return nil
 }
 
-func TestAGatewayOfTheRevisionBeforeConfirmsNoRollouts(t *testing.T) {
+func TestPeerWithoutRolloutsDoesNotConfirmState(t *testing.T) {
 	g := NewWithT(t)
 	at := listen(t)
 	server := rpc.NewServer()
-	before := &gatewayBefore{earlierGateway{self: member.Box{ID: "before", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}}}
+	before := &preRolloutGateway{preEvacuationGateway{self: member.Box{ID: "before", Peer: at.Addr().String(), Hall: "hall-0", Start: 1}}}
 	g.Expect(server.RegisterName("Feed", before)).To(Succeed())
 	t.Cleanup(func() { _ = at.Close() })
 	go func(l net.Listener) { server.Accept(l) }(at)
@@ -289,10 +289,10 @@
 	s.putRollout(catalog.Rollout{Service: "shop", Version: "v2", State: catalog.RolloutRunning, Permille: 50})
 	a := &access{store: s}
 	a.silent.Store(true)
-	gw := startRollingOut(t, "new", a, []string{at.Addr().String()})
+	gw := startWithRollouts(t, "new", a, []string{at.Addr().String()})
 	g.Eventually(func() bool { return gw.Snapshot().Table() != nil }, eventual).Should(BeTrue())
-	g.Consistently(gw.Current, timing.LastAfter).Should(BeFalse(), "nobody has told of rollouts")
+	g.Consistently(gw.Current, timing.MustReadAfter).Should(BeFalse(), "no gateway has sent rollouts")
 	a.silent.Store(false)
-	g.Eventually(func() int { return gw.permille("shop") }, eventual).Should(Equal(50), "so it reads them itself")
+	g.Eventually(func() int { return gw.permille("shop") }, eventual).Should(Equal(50), "it reads them itself")
 	g.Eventually(gw.Current, eventual).Should(BeTrue())
 }
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// wholesAtOnce and wholeEvery bound how often all that is known is sent: so many at
-	// once, then one each wholeEvery. Of 11 kB each, a list of 719 targets, they
-	// take half of a link of 20 Mbit/s; those that were sent it send it to others meanwhile.
-	wholesAtOnce = 4
-	wholeEvery   = 8 * time.Millisecond
-	// oldLookEvery is the time between two looks at a waiting question whose caller's
-	// knowledge has grown old. This gateway's may have become younger by less than wakes
-	// those that wait, and the gain that is worth telling falls with the caller's age.
-	oldLookEvery = 20 * time.Millisecond
+	// fullDeltaBurst and fullDeltaInterval limit how often the full catalog is sent: a burst,
+	// then one each interval. With 11 kB each, a list of 719 targets, this uses half of a link
+	// of 20 Mbit/s; gateways that received it forward it to others meanwhile.
+	fullDeltaBurst    = 4
+	fullDeltaInterval = 8 * time.Millisecond
+	// staleCheckInterval is the time between two checks of a waiting request whose caller's
+	// state has become stale. This gateway's state may have become fresher without a
+	// wake-up of the waiting requests, and the gain that is worth a reply decreases with
+	// the caller's age.
+	staleCheckInterval = 20 * time.Millisecond
 )
 
-// methods are what other gateways may call.
+// methods holds the methods that other gateways may call.
 type methods struct{ follower *Follower }
 
-// News answers once the caller lacks something or its wait is over.
+// News replies once the caller lacks something or its wait is over.
 func (m *methods) News(args UpdateArgs, reply *UpdateReply) error {
 	return m.follower.answer(args, reply)
 }
 
-// Service is what other gateways may call on the same connections beside the exchange.
+// Service is a further net/rpc service on the connections of the exchange.
 type Service struct {
 	Name string
-	// Methods has methods as net/rpc wants them.
+	// Methods has methods as net/rpc requires them.
 	Methods any
 }
 
-// Serve answers other gateways, also by further services, until the listener is closed.
+// Serve answers other gateways, also with further services, until the listener is closed.
 func (f *Follower) Serve(l net.Listener, more ...Service) error {
 	server := rpc.NewServer()
 	for _, s := range append([]Service{{Name: serviceName, Methods: &methods{follower: f}}}, more...) {
@@ -54,11 +55,11 @@
 
 func (f *Follower) answer(args UpdateArgs, reply *UpdateReply) error {
 	asked := f.options.Clock()
-	if err := f.takeNews(args); err != nil {
+	if err := f.applyPushedDelta(args); err != nil {
 		return err
 	}
-	f.noteAsked(args)
-	f.await(args)
+	f.recordRequest(args)
+	f.waitForUpdate(args)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
@@ -77,7 +78,7 @@
 		body, to := f.updatesSince(parsePositions(args.FatalAt))
 		reply.Fatal, reply.FatalAt = body, to.reply()
 	}
-	if id, age := f.fresh.Reader(now); age < f.options.Timing.SilentAfter {
+	if id, age := f.fresh.Reader(now); age < f.options.Timing.StaleAfter {
 		reply.Reader, reply.ReaderAge = id, age
 	}
 	if args.Digest {
@@ -87,11 +88,11 @@
 	return f.addUpdate(args, reply)
 }
 
-// addUpdate adds what the caller lacks to an answer; the lock is held.
+// addUpdate adds to a reply what the caller lacks; the lock is held.
 func (f *Follower) addUpdate(args UpdateArgs, reply *UpdateReply) error {
 	reply.Delta = f.catalog.Since(args.At)
 	if reply.Delta.Whole {
-		if reply.Busy = !f.wholes.Allow(); reply.Busy {
+		if reply.Busy = !f.fullDeltas.Allow(); reply.Busy {
 			reply.Delta = catalog.Delta{To: reply.Delta.To}
 			return nil
 		}
@@ -109,34 +110,35 @@
 	return err
 }
 
-// noteAsked notes that another gateway asks, what it sends, and whom it has seen.
-func (f *Follower) noteAsked(args UpdateArgs) {
+// recordRequest records that another gateway asked, merges what it sent, and observes the
+// gateways that it has seen.
+func (f *Follower) recordRequest(args UpdateArgs) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Clock()
-	f.asked = now
-	f.meet(now, args.Members, f.view.ObserveCall)
+	f.lastAskedAt = now
+	f.observeSightings(now, args.Members, f.view.ObserveCall)
 	f.noteTries(now, args.Tries)
 	f.mergeUpdates(args.Fatal, args.From.ID)
 	if args.From.ID == "" {
 		return
 	}
-	f.greet(now, args.From, f.view.ObserveCall)
-	told := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().IsBehind(args.At)}
-	if !told.fresher || f.fresh.Age(now) > args.Age {
-		f.noteOffer(now, told)
+	f.observePeer(now, args.From, f.view.ObserveCall)
+	advertised := offer{peer: args.From, at: args.At, fresher: !f.catalog.Position().IsBehind(args.At)}
+	if !advertised.fresher || f.fresh.Age(now) > args.Age {
+		f.noteOffer(now, advertised)
 	}
 }
 
-// await waits while there is nothing to send the caller.
-func (f *Follower) await(args UpdateArgs) {
+// waitForUpdate waits while there is nothing to send to the caller.
+func (f *Follower) waitForUpdate(args UpdateArgs) {
 	if args.Wait <= 0 {
 		return
 	}
 	asked := f.options.Clock()
 	for {
 		f.mu.Lock()
-		changed, done, next := f.changed, f.hasAnswer(args, asked), f.nextLook(args, asked)
+		changed, done, next := f.changed, f.hasAnswer(args, asked), f.untilNextCheck(args, asked)
 		f.mu.Unlock()
 		if done || next <= 0 {
 			return
@@ -150,19 +152,19 @@
 	}
 }
 
-// nextLook is how long a question waits until it is looked at again though nothing
-// changes: until its wait is over or the caller's knowledge has grown old, and from then on
-// each oldLookEvery; the lock is held.
-func (f *Follower) nextLook(args UpdateArgs, asked time.Time) time.Duration {
+// untilNextCheck returns how long a waiting request is left alone if nothing changes: until
+// its wait is over or the caller's state becomes stale, and staleCheckInterval from then
+// on; the lock is held.
+func (f *Follower) untilNextCheck(args UpdateArgs, asked time.Time) time.Duration {
 	waited := f.options.Clock().Sub(asked)
 	left := args.Wait - waited
-	if untilOld := f.fresh.UntilOld(older(args.Age, waited)); untilOld > 0 {
+	if untilOld := f.fresh.UntilOld(agedBy(args.Age, waited)); untilOld > 0 {
 		return min(left, untilOld+time.Millisecond)
 	}
-	return min(left, oldLookEvery)
+	return min(left, staleCheckInterval)
 }
 
-// lacks says whether there is anything at a position that the caller lacks and follows.
+// lacks reports whether the caller lacks anything that it follows at a position.
 func (a UpdateArgs) lacks(position catalog.Position) bool {
 	if !a.FollowsEvacuations {
 		position.EvacuationsChanged = 0
@@ -173,14 +175,15 @@
 	return a.At.IsBehind(position)
 }
 
-// hasAnswer says whether there is something to answer now: an update, news that
-// confirms the caller's old knowledge, a try to read the store, a request that ends targets or
-// a target's limit that it has not learnt of, or that this gateway leaves; the lock is held.
+// hasAnswer reports whether there is a reason to reply now: an update, a confirmation of
+// the caller's stale state, an attempt to read the store, a request that terminates targets
+// or a target's limit that the caller does not know, or that this gateway is leaving; the
+// lock is held.
 func (f *Follower) hasAnswer(args UpdateArgs, asked time.Time) bool {
 	now := f.options.Clock()
-	ahead := args.lacks(f.catalog.Position())
-	confirms := f.fresh.CanConfirm(now, older(args.Age, now.Sub(asked)))
+	lacks := args.lacks(f.catalog.Position())
+	confirms := f.fresh.CanConfirm(now, agedBy(args.Age, now.Sub(asked)))
 	tries := f.tries.AnyMissingIn(now, args.Tries)
 	updates := args.AsksFatal && f.lacksUpdates(parsePositions(args.FatalAt))
-	return ahead || confirms || tries || updates || f.view.Self().Leaving
+	return lacks || confirms || tries || updates || f.view.Self().Leaving
 }
--- a/internal/gateway/discovery/start.go
+++ b/internal/gateway/discovery/start.go
@@ -8,26 +8,27 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/reader"
 )
 
-// start is the duty of a gateway that knows nothing while its clients wait: unless
-// others send it everything first, it reads the store's older copy. What it saw may be seconds old
-// and is not sent to others; all is still asked of them.
-func (f *Follower) start(ctx context.Context) error {
-	for !f.options.FirstStart && !f.hasBegun() {
+// bootstrap is the background task of a gateway that starts without any state while its
+// clients wait: it reads the store's older copy unless other gateways send it the full
+// state first. What it reads may be seconds old and is not sent to others; the current
+// state is still requested from them.
+func (f *Follower) bootstrap(ctx context.Context) error {
+	for !f.options.FirstStart && !f.isReady() {
 		if wait := f.untilStaleRead(); wait > 0 {
-			if !f.idle(ctx, wait) {
+			if !f.waitForChange(ctx, wait) {
 				return nil
 			}
 			continue
 		}
-		if f.staleRead(ctx) || !f.idle(ctx, quietPause) {
+		if f.staleRead(ctx) || !f.waitForChange(ctx, noPeerPause) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// hasBegun says whether there is something to serve by.
-func (f *Follower) hasBegun() bool {
+// isReady reports whether there is a state to serve by.
+func (f *Follower) isReady() bool {
 	select {
 	case <-f.ready:
 		return true
@@ -42,47 +43,47 @@
 	return reader.UntilStaleRead(f.readerState(f.options.Clock()))
 }
 
-// staleRead reads the store's older copy and says whether it saw anything.
+// staleRead reads the store's older copy and reports whether that gave a usable state.
 func (f *Follower) staleRead(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.SilentAfter)
+	ctx, cancel := context.WithTimeout(ctx, f.options.Timing.StaleAfter)
 	defer cancel()
-	seen, err := f.options.Source.StaleRead(ctx)
+	stale, err := f.options.Source.StaleRead(ctx)
 	if err != nil {
 		f.options.Metrics.StoreCall(callStaleRead, callFailed)
-		f.options.Log.Info("no glance at the store", "error", err.Error())
+		f.options.Log.Info("stale read of the store failed", "error", err.Error())
 		return false
 	}
 	f.options.Metrics.StoreCall(callStaleRead, callAnswered)
-	if seen.Config == nil {
+	if stale.Config == nil {
 		return false
 	}
-	guess, ok := f.guess(ctx, seen)
+	staleCopy, ok := f.completeStaleRead(ctx, stale)
 	if ok {
-		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.LoadStale(guess) })
+		f.apply(fromStaleRead, func(c *catalog.Catalog) catalog.Changed { return c.LoadStale(staleCopy) })
 	}
 	return ok
 }
 
-// guess completes a stale read with those of the evacuations and of the rollouts, where these
-// are followed; ok is false if it must not be served by.
-func (f *Follower) guess(ctx context.Context, seen StaleRead) (guess catalog.StaleCopy, ok bool) {
-	guess = catalog.StaleCopy{Version: seen.Config.Version, Body: seen.Config.Body, Targets: ownTargets(seen.Targets)}
+// completeStaleRead adds the stale evacuations and rollouts, where these are followed; ok
+// is false if the result must not be used for serving.
+func (f *Follower) completeStaleRead(ctx context.Context, stale StaleRead) (staleCopy catalog.StaleCopy, ok bool) {
+	staleCopy = catalog.StaleCopy{Version: stale.Config.Version, Body: stale.Config.Body, Targets: ownTargets(stale.Targets)}
 	if f.options.Source.followsEvacuations() {
 		evacuations, err := f.options.Source.StaleEvacuations(ctx)
-		if guess.Evacuations = evacuations.Items; err != nil {
-			// It serves all the same: they are known before anything is due of it.
+		if staleCopy.Evacuations = evacuations.Items; err != nil {
+			// It serves nevertheless: the evacuations are known before it has to apply them.
 			f.options.Metrics.StoreCall(callStaleRead, callFailed)
-			f.options.Log.Info("no glance at the evacuations", "error", err.Error())
+			f.options.Log.Info("stale read of the evacuations failed", "error", err.Error())
 		}
 	}
 	if f.options.Source.followsRollouts() {
-		// Without them a version that is only on trial would be taken for one in service.
+		// Without them, a version that is only on trial would be treated as one in service.
 		rollouts, err := f.options.Source.StaleRollouts(ctx)
-		if guess.Rollouts = rollouts.Items; err != nil {
+		if staleCopy.Rollouts = rollouts.Items; err != nil {
 			f.options.Metrics.StoreCall(callStaleRead, callFailed)
-			f.options.Log.Info("no glance at the rollouts; it does not serve by what it saw", "error", err.Error())
-			return guess, false
+			f.options.Log.Info("stale read of the rollouts failed; the stale state is not used", "error", err.Error())
+			return staleCopy, false
 		}
 	}
-	return guess, true
+	return staleCopy, true
 }
--- a/internal/gateway/signals/updates.go
+++ b/internal/gateway/signals/updates.go
@@ -13,10 +13,10 @@
 const publishEvery = 250 * time.Millisecond
 
 // Updates returns the exchange of signals between gateways.
-func (r *Registry) Updates() discovery.Updates {
+func (r *Registry) Updates() discovery.UpdateKind {
 	return discovery.ChangeLog[signal.Update]{
-		Name: "signals of targets", Position: r.position, Since: r.updatesSince, Merge: r.mergeUpdates, Every: publishEvery, Log: r.options.Log,
-	}.Updates()
+		Name: "signals of targets", Position: r.position, Since: r.updatesSince, Merge: r.mergeUpdates, MinInterval: publishEvery, Log: r.options.Log,
+	}.UpdateKind()
 }
 
 // position returns the position of the latest change.
