--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -141,7 +141,7 @@
 	g.discovery = discovery.New(discovery.Options{
 		Self: self, FirstStart: s.FirstStart, Seeds: func() []string { return g.settings.Load().Seeds },
 		Source: followed(o.Source, s), Decode: g.decode, Timing: timing(s), Locality: g.places.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
-		Fatal: g.fatal, LimitsFor: g.quota.SharingLeft, ObserveLimits: g.quota.ExtendSharing, UpdateKinds: []discovery.UpdateKind{g.quota.Updates(), g.signals.Updates()},
+		Fatal: g.fatal, SharingLeft: g.quota.SharingLeft, ExtendSharing: g.quota.ExtendSharing, UpdateKinds: []discovery.UpdateKind{g.quota.Updates(), g.signals.Updates()},
 	})
 	g.quota.OnUpdate(g.discovery.Wake)
 	g.signals.OnUpdate(g.discovery.Wake)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -36,10 +36,10 @@
 func (g *Gateway) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	duties, endDuties := context.WithCancel(context.WithoutCancel(ctx))
-	defer endDuties()
+	tasks, endTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer endTasks()
 	var group run.Group
-	g.addDuties(duties, &group, endDuties)
+	g.addTasks(tasks, &group, endTasks)
 	g.addServers(&group)
 	g.addClients(ctx, &group, stop)
 	g.log.Info("started", "listen", g.listeners.clients.Addr().String(), "hall", g.settings.Load().Hall)
@@ -52,16 +52,16 @@
 	return trace.Wrap(err)
 }
 
-// addDuties adds what works in the background until the group ends.
-func (g *Gateway) addDuties(ctx context.Context, group *run.Group, end func()) {
-	duties := append(g.discovery.Tasks(), pause.Every(retainEvery, g.retain))
-	duties = append(duties, g.quota.Duties()...)
-	duties = append(duties, g.signals.Duties()...)
+// addTasks adds the background tasks, which run until the group ends.
+func (g *Gateway) addTasks(ctx context.Context, group *run.Group, end func()) {
+	tasks := append(g.discovery.Tasks(), pause.Every(retainEvery, g.retain))
+	tasks = append(tasks, g.quota.Tasks()...)
+	tasks = append(tasks, g.signals.Tasks()...)
 	if g.delivery != nil {
-		duties = append(duties, g.delivery.Tasks()...)
+		tasks = append(tasks, g.delivery.Tasks()...)
 	}
-	for _, duty := range duties {
-		group.Add(func() error { return lifecycle.RunUntilCancelled(ctx, duty) }, func(error) { end() })
+	for _, task := range tasks {
+		group.Add(func() error { return lifecycle.RunUntilCancelled(ctx, task) }, func(error) { end() })
 	}
 }
 
--- a/internal/gateway/discovery/discovery.go
+++ b/internal/gateway/discovery/discovery.go
@@ -125,11 +125,11 @@
 	// Fatal records the requests that terminate targets, which gateways exchange; nil if
 	// nothing here records any.
 	Fatal *fatal.Register
-	// LimitsFor returns for how much longer gateways share the limits that targets
-	// advertise; gateways send each other this time. ObserveLimits receives what another
+	// SharingLeft returns for how much longer gateways share the limits that targets
+	// advertise; gateways send each other this time. ExtendSharing receives what another
 	// gateway sent. Both are nil where limits are not shared.
-	LimitsFor     func() time.Duration
-	ObserveLimits func(left time.Duration)
+	SharingLeft   func() time.Duration
+	ExtendSharing func(left time.Duration)
 	// UpdateKinds are the kinds of updates that gateways exchange beside the catalog, in
 	// the order in which versions of the gateway introduced them.
 	UpdateKinds []UpdateKind
@@ -234,8 +234,8 @@
 	if o.Fatal == nil {
 		o.Fatal = fatal.New(fatal.Options{Clock: o.Clock, Log: o.Log})
 	}
-	if o.LimitsFor == nil {
-		o.LimitsFor, o.ObserveLimits = func() time.Duration { return 0 }, func(time.Duration) {}
+	if o.SharingLeft == nil {
+		o.SharingLeft, o.ExtendSharing = func() time.Duration { return 0 }, func(time.Duration) {}
 	}
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{}).DialContext
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -43,7 +43,7 @@
 	reply := call.Reply.(*UpdateReply)
 	inTransit := max(0, f.options.Clock().Sub(asked)-reply.Held)
 	reply.Age, reply.ReaderAge = agedBy(reply.Age, inTransit), agedBy(reply.ReaderAge, inTransit)
-	f.options.ObserveLimits(reply.LimitsFor - inTransit)
+	f.options.ExtendSharing(reply.LimitsFor - inTransit)
 	return reply, f.applyReply(peer, reply)
 }
 
--- a/internal/gateway/discovery/fleet_test.go
+++ b/internal/gateway/discovery/fleet_test.go
@@ -124,7 +124,7 @@
 	g.limits.OnUpdate(g.Wake)
 	g.signals.OnUpdate(g.Wake)
 	g.signals.OnLeaving(g.Drain)
-	for _, task := range append(g.Tasks(), g.signals.Duties()...) {
+	for _, task := range append(g.Tasks(), g.signals.Tasks()...) {
 		go func() { _ = task(ctx) }()
 	}
 	var more []discovery.Service
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -73,7 +73,7 @@
 	}
 	reply.Age, reply.Origin = f.fresh.Age(now), f.fresh.Origin()
 	reply.Tries = f.tries.Published(now)
-	reply.LimitsFor = f.options.LimitsFor()
+	reply.LimitsFor = f.options.SharingLeft()
 	if args.AsksFatal {
 		body, to := f.updatesSince(parsePositions(args.FatalAt))
 		reply.Fatal, reply.FatalAt = body, to.reply()
--- a/internal/gateway/quota/fleet_test.go
+++ b/internal/gateway/quota/fleet_test.go
@@ -124,8 +124,8 @@
 	if f.views != nil {
 		f.views.start(ctx, i)
 	}
-	for _, duty := range limiter.Duties() {
-		go func() { _ = duty(ctx) }()
+	for _, task := range limiter.Tasks() {
+		go func() { _ = task(ctx) }()
 	}
 }
 
--- a/internal/gateway/quota/homes.go
+++ b/internal/gateway/quota/homes.go
@@ -30,8 +30,8 @@
 	idleRefreshEvery = time.Second
 )
 
-// Duties returns the background tasks of the limiter. Each runs until its context ends.
-func (l *Limiter) Duties() []func(context.Context) error {
+// Tasks returns the background tasks of the limiter. Each runs until its context ends.
+func (l *Limiter) Tasks() []func(context.Context) error {
 	return []func(context.Context) error{l.maintainLinks}
 }
 
--- a/internal/gateway/quota/targets_test.go
+++ b/internal/gateway/quota/targets_test.go
@@ -335,8 +335,8 @@
 			Homes: func(int) []member.Box { lockLimiter(); return []member.Box{self} },
 		})
 		ctx, stop := context.WithCancel(t.Context())
-		for _, duty := range limiter.Duties() {
-			go func() { _ = duty(ctx) }()
+		for _, task := range limiter.Tasks() {
+			go func() { _ = task(ctx) }()
 		}
 		life := catalog.Life{ID: "target-1"}
 		time.Sleep(time.Second)
@@ -358,8 +358,8 @@
 			Homes: func(int) []member.Box { return []member.Box{self} },
 		})
 		ctx, stop := context.WithCancel(t.Context())
-		for _, duty := range limiter.Duties() {
-			go func() { _ = duty(ctx) }()
+		for _, task := range limiter.Tasks() {
+			go func() { _ = task(ctx) }()
 		}
 		life := catalog.Life{ID: "target-1"}
 		limiter.ObserveLimit(life, corequota.SourceProbe, []string{"3"})
@@ -385,8 +385,8 @@
 			Dial:  func(context.Context, string, string) (net.Conn, error) { return nil, errRefused },
 		})
 		ctx, stop := context.WithCancel(t.Context())
-		for _, duty := range limiter.Duties() {
-			go func() { _ = duty(ctx) }()
+		for _, task := range limiter.Tasks() {
+			go func() { _ = task(ctx) }()
 		}
 		life := catalog.Life{ID: "target-1"}
 		time.Sleep(time.Second)
--- a/internal/gateway/signals/signals.go
+++ b/internal/gateway/signals/signals.go
@@ -100,8 +100,8 @@
 // the registry is used.
 func (r *Registry) OnLeaving(drain func(lives []catalog.Life)) { r.drain = drain }
 
-// Duties returns the background tasks of the registry. Each runs until its context ends.
-func (r *Registry) Duties() []func(context.Context) error {
+// Tasks returns the background tasks of the registry. Each runs until its context ends.
+func (r *Registry) Tasks() []func(context.Context) error {
 	return []func(context.Context) error{r.drainPending, pause.Every(tickEvery, r.tick)}
 }
 
--- a/internal/gateway/signals/signals_test.go
+++ b/internal/gateway/signals/signals_test.go
@@ -46,8 +46,8 @@
 	r.OnLeaving(drained.add)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	for _, duty := range r.Duties() {
-		go func() { _ = duty(ctx) }()
+	for _, task := range r.Tasks() {
+		go func() { _ = task(ctx) }()
 	}
 	return r, drained
 }
