--- a/core/gateway/estimate/estimate.go
+++ b/core/gateway/estimate/estimate.go
@@ -9,7 +9,7 @@
 //
 // Estimates move in steps and are not averages over all samples, so that they follow a
 // service that changes, and a single long answer moves them by a bounded amount. The
-// larger first steps were measured (docs/DESIGN.md, "Which target").
+// first steps are larger (docs/DESIGN.md, "Which target").
 //
 // # Usage
 //
--- a/core/gateway/estimate/levels.go
+++ b/core/gateway/estimate/levels.go
@@ -25,7 +25,7 @@
 	noCost         = 1
 	negligibleCost = 1.35
 	// initialLastSlotCost is the assumed cost of the last slot before any request used
-	// one. 1.25 was measured and gave worse results (docs/DESIGN.md, "Which target").
+	// one. 1.25 gave worse results (docs/DESIGN.md, "Which target").
 	initialLastSlotCost = 1.15
 	// initialColdCost is how much longer requests are assumed to take at a cold target
 	// before any was answered by one. The users' cold targets take twice as long.
--- a/core/gateway/placement/decide.go
+++ b/core/gateway/placement/decide.go
@@ -10,8 +10,8 @@
 const (
 	// searchShare is the share of a route's objective that the search for a target may
 	// take; after that, a request to a full service is refused. The client must have time
-	// left to retry. The waiting policy was measured as a whole: docs/DESIGN.md, "wait
-	// for a usual target while there is hope".
+	// left to retry. For the waiting policy as a whole, see docs/DESIGN.md, "wait for a
+	// usual target while there is hope".
 	searchShare = 0.2
 	// minWaitFactor is how many times its usual time a request must have left for a
 	// target of usual speed to still answer within the objective.
--- a/core/gateway/quarantine/quarantine.go
+++ b/core/gateway/quarantine/quarantine.go
@@ -48,8 +48,8 @@
 	// cost one more target, and few harmless requests get that far.
 	minEndsOfSuspect = 2
 	// lapseAfter is how long after it was last seen a request is forgotten, so that it
-	// may be tried again. If it is still fatal, each try costs three targets; the value was
-	// chosen so that these are a few in an hour.
+	// may be tried again. If it is still fatal, each try costs three targets; with this
+	// value, these are a few in an hour.
 	lapseAfter = 10 * time.Minute
 	// resendAfter is how much later a request must have been seen for its record to be sent
 	// again: a quarantined request that comes each second is sent each minute.
--- a/core/gateway/rollout/stages.go
+++ b/core/gateway/rollout/stages.go
@@ -13,8 +13,9 @@
 	rampStart = 0.55
 	// firstStageBudget and middleStageBudget are the shares of a bad version's allowed
 	// exposure that the first and the middle stage use. The rest is left for a version that
-	// turns bad in the last stage; TestExposureIsBoundedWheneverAVersionTurnsBad checks the
-	// total.
+	// turns bad in the last stage: with a quarter for each, such a version exceeded its
+	// exposure in simulations where the order gives 12 s.
+	// TestExposureIsBoundedWheneverAVersionTurnsBad checks the total.
 	firstStageBudget  = 0.1
 	middleStageBudget = 0.1
 	// maxFirstStageBudget bounds the first share where the rate of the service is low and a
