--- a/core/gateway/refusal/refusal.go
+++ b/core/gateway/refusal/refusal.go
@@ -10,7 +10,7 @@
 //
 //	failure := refusal.Final(refusal.Ending{Failure: failure, Last: last, MayHaveRun: true})
 //	pause := refusal.RetryAfter(left, rand.Float64())
-//	if failure.Reason() == verdict.ReasonShed && load.IsOpen() {
+//	if failure.Reason() == verdict.ReasonShed && load.AllowsImmediateRetry() {
 //		pause = refusal.ImmediateRetryAfter(rand.Float64())
 //	}
 package refusal
