--- a/core/box/health/health.go
+++ b/core/box/health/health.go
@@ -121,10 +121,10 @@
 	t.ramp = 1
 }
 
-// BackOff records that the target asks not to be sent requests for d; 0 for none.
+// BackOff records a back-off of d that the target advertised; 0 for none.
 func (t *Tracker) BackOff(now time.Time, d time.Duration) { t.backOff.Ask(now, d) }
 
-// BacksOff reports whether the target currently asks not to be sent requests.
+// BacksOff reports whether an advertised back-off of the target is in effect.
 func (t *Tracker) BacksOff(now time.Time) bool { return t.backOff.Left(now) > 0 }
 
 // Ejected reports whether the target is currently ejected.
--- a/core/box/ledger/ledger.go
+++ b/core/box/ledger/ledger.go
@@ -33,7 +33,7 @@
 	Slots   int
 }
 
-// SlotRequest asks for a slot of any target of the service.
+// SlotRequest is a request for a slot of any target of the service.
 type SlotRequest struct {
 	// ID is unique among the requests of all boxes; it also identifies the grant.
 	ID   string
@@ -91,7 +91,8 @@
 	Start uint64
 	// Leaving is whether the target advertised that it accepts no new requests.
 	Leaving bool
-	// BackOff is how long the target asked not to be sent requests; 0 for none.
+	// BackOff is the back-off that the target advertised, during which it must not be
+	// sent requests; 0 for none.
 	BackOff time.Duration
 }
 
--- a/core/box/ledger/ledger_test.go
+++ b/core/box/ledger/ledger_test.go
@@ -88,7 +88,7 @@
 		Expect(d.State).To(Equal(ledger.Queued))
 	})
 
-	It("grants no slot of a target until the back-off it asked for ends", func() {
+	It("grants no slot of a target until the back-off it advertised ends", func() {
 		l := newTestLedger(2, 1, 10)
 		first, d := l.acquire(1, "a")
 		backingOff := d.Target
@@ -169,7 +169,7 @@
 
 	It("removes the grants of a box that is no longer seen after the grace period", func() {
 		l := newTestLedger(1, 1, 10)
-		l.acquire(1, "gone")
+		l.acquire(1, "unseen")
 		l.now = l.now.Add(grace - time.Millisecond)
 		l.Tick(l.now, grace)
 		Expect(l.InFlight()).To(Equal(1))
--- a/core/box/ledger/view.go
+++ b/core/box/ledger/view.go
@@ -13,15 +13,15 @@
 	Start    uint64        `json:"start"`
 	Ratio    float64       `json:"ratio"`
 	Idle     time.Duration `json:"-"`
-	// BacksOff is whether the target currently asks not to be sent requests,
-	// whether it is leaving or not.
+	// BacksOff is whether a back-off that the target advertised is in effect, whether
+	// the target is leaving or not.
 	BacksOff bool `json:"-"`
 }
 
 // The states of a target. If several hold, the first of them is reported.
 const (
 	StateLeaving    = "leaving"
-	StateBackingOff = "backing-off" // asked not to be sent requests for a while
+	StateBackingOff = "backing-off" // an advertised back-off is in effect
 	StateEjected    = "ejected"
 	StateSuspect    = "suspect"
 	StateLive       = "live"
