--- a/core/box/once/once.go
+++ b/core/box/once/once.go
@@ -14,9 +14,9 @@
 //
 // # Usage
 //
-//	step := once.Begin(now, found, fingerprint)
+//	step := once.Begin(now, found, fingerprint, attempt)
 //	switch step.Action {
-//	case once.Claim:  // write Record.Held with step.Version expected
+//	case once.Claim:  // write a held record if the version is still step.Version
 //	case once.Replay: // answer with step.Answer
 //	case once.Fail:   // answer with step.Failure
 //	}
@@ -87,9 +87,9 @@
 
 // The actions.
 const (
-	Claim Action = iota
-	Replay
-	Fail
+	Claim  Action = iota // write a held record
+	Replay               // answer with the stored answer
+	Fail                 // answer with the failure
 )
 
 // Step is the decision on a found record.
