--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		g.log.Warn("suspended time is not counted", "error", err.Error())
 	}
-	clock.OnWake(g.woke)
+	clock.OnResume(g.woke)
 	return clock.Now
 }
 
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,18 +1,18 @@
-// Package boottime gives a clock that counts the time for which the machine is suspended,
-// and that no step of the time of day moves. Go's own steady clock stands still while a
-// machine sleeps: after it, knowledge, deadlines and connections look younger than they
-// are.
+// Package boottime provides a clock that counts the time for which the machine is suspended
+// and that is not affected by steps of the wall clock. Go's own monotonic clock stops while
+// a machine is suspended, so that afterwards known state, deadlines and connections look
+// younger than they are.
 //
-// The system's CLOCK_BOOTTIME is that clock, but each look at it is a system call. So a
-// Clock goes by Go's steady clock, which costs none, and asks the system only when the time
-// of day has moved against it (which it does by as much as the machine slept, or when it is
-// stepped), and once a second. Where the system has no such clock, suspended time is not
-// counted; New says so.
+// The system's CLOCK_BOOTTIME is such a clock, but each reading of it is a system call. A
+// Clock is therefore based on Go's monotonic clock, which needs none, and reads the system's
+// clocks only when the wall clock has moved relative to it (by the time of a suspension, or
+// by a step), and once a second. Where the system has no such clock, suspended time is not
+// counted, and New returns an error.
 //
 // # Usage
 //
 //	clock, err := boottime.New()
-//	clock.OnWake(func(slept time.Duration) { ... })
+//	clock.OnResume(func(suspended time.Duration) { ... })
 //	age := clock.Now().Sub(seen)
 package boottime
 
@@ -26,92 +26,94 @@
 )
 
 const (
-	// minSlept is the shortest sleep that counts: far above what two looks at the
-	// system's clocks differ by, far below any age that decides something.
-	minSlept = 5 * time.Millisecond
-	// checkEvery is how often the system is asked though the time of day gives no reason:
-	// it may have been stepped back by as much as the machine slept.
-	checkEvery = time.Second
-	// looks is how often the system's clocks are looked at until nothing came between, and
-	// maxApart how long a look may take.
-	looks    = 3
-	maxApart = time.Millisecond
+	// minSuspension is the shortest suspension that is counted: far above the difference
+	// between two readings of the system's clocks, far below any age that a decision
+	// depends on.
+	minSuspension = 5 * time.Millisecond
+	// checkInterval is how often the system's clocks are read even if the wall clock has not
+	// moved: it may have been stepped back by as much as the machine was suspended.
+	checkInterval = time.Second
+	// maxReads is how often the system's clocks are read at most to get a reading that was not
+	// interrupted, and maxReadTime is how long such a reading may take.
+	maxReads    = 3
+	maxReadTime = time.Millisecond
 )
 
 // Clock counts suspended time. It is safe for concurrent use.
 type Clock struct {
-	// read gives by how much the steady clock and the time of day have moved since the
-	// start, suspended for how long the machine has slept since.
-	read      func() (steady, day time.Duration)
-	suspended func() (time.Duration, error)
-	epoch     time.Time // the start, without the steady clock's reading
-	// apart is by how much the time of day has moved against the steady clock, asleep for
-	// how long the machine has slept, checked when the system was last asked, since start.
-	apart, asleep, checked atomic.Int64
+	// readClocks returns by how much the monotonic clock and the wall clock have moved since
+	// the start, readSuspended for how long the machine has been suspended since then.
+	readClocks    func() (monotonic, wall time.Duration)
+	readSuspended func() (time.Duration, error)
+	wallStart     time.Time // the start, without a monotonic reading
+	// All three are counted from the start: offset is by how much the wall clock has moved
+	// relative to the monotonic clock, suspendedTotal is for how long the machine has been
+	// suspended, and lastCheck is the monotonic time at which the system was last asked.
+	offset, suspendedTotal, lastCheck atomic.Int64
 
-	mu     sync.Mutex
-	onWake func(slept time.Duration)
+	mu       sync.Mutex
+	onResume func(suspended time.Duration)
 }
 
-// New makes a clock that begins at the time of day. An error says that the system does not
-// count suspended time; the clock is usable all the same.
+// New returns a clock that starts at the current wall-clock time. It returns an error if the
+// system does not count suspended time; the clock is usable nevertheless.
 func New() (*Clock, error) {
 	start := time.Now()
-	epoch := start.Round(0)
-	read := func() (steady, day time.Duration) {
+	wallStart := start.Round(0)
+	read := func() (monotonic, wall time.Duration) {
 		now := time.Now()
-		return now.Sub(start), now.Round(0).Sub(epoch)
+		return now.Sub(start), now.Round(0).Sub(wallStart)
 	}
-	return newClock(epoch, read, suspended)
+	return newClock(wallStart, read, systemSuspended)
 }
 
-func newClock(epoch time.Time, read func() (steady, day time.Duration), suspended func() (time.Duration, error)) (*Clock, error) {
-	c := &Clock{read: read, epoch: epoch, onWake: func(time.Duration) {}}
-	before, err := suspended()
-	c.suspended = func() (time.Duration, error) {
+func newClock(wallStart time.Time, read func() (monotonic, wall time.Duration), suspended func() (time.Duration, error)) (*Clock, error) {
+	c := &Clock{readClocks: read, wallStart: wallStart, onResume: func(time.Duration) {}}
+	atStart, err := suspended()
+	c.readSuspended = func() (time.Duration, error) {
 		total, err := suspended()
-		return total - before, err
+		return total - atStart, err
 	}
 	if err != nil {
-		c.suspended = func() (time.Duration, error) { return 0, nil }
-		return c, fmt.Errorf("the system does not tell for how long it was suspended: %w", err)
+		c.readSuspended = func() (time.Duration, error) { return 0, nil }
+		return c, fmt.Errorf("the system does not report how long it was suspended: %w", err)
 	}
 	return c, nil
 }
 
-// OnWake has a function called, on a goroutine of its own, each time that the machine is
-// found to have slept. It must be set before the clock is used by others.
-func (c *Clock) OnWake(f func(slept time.Duration)) { c.onWake = f }
+// OnResume sets a function that is called in its own goroutine whenever the clock detects
+// that the machine was suspended. It must be set before other goroutines use the clock.
+func (c *Clock) OnResume(f func(suspended time.Duration)) { c.onResume = f }
 
-// Now is the time. Only times of one clock can be compared.
+// Now returns the current time. Only times of the same Clock can be compared.
 func (c *Clock) Now() time.Time {
-	steady, day := c.read()
-	apart := day - steady
-	if moved := apart - time.Duration(c.apart.Load()); moved.Abs() >= minSlept || steady-time.Duration(c.checked.Load()) >= checkEvery {
-		c.check(steady, apart)
+	monotonic, wall := c.readClocks()
+	offset := wall - monotonic
+	if moved := offset - time.Duration(c.offset.Load()); moved.Abs() >= minSuspension || monotonic-time.Duration(c.lastCheck.Load()) >= checkInterval {
+		c.check(monotonic, offset)
 	}
-	return c.epoch.Add(steady + time.Duration(c.asleep.Load()))
+	return c.wallStart.Add(monotonic + time.Duration(c.suspendedTotal.Load()))
 }
 
-// check asks the system for how long it has slept.
-func (c *Clock) check(steady, apart time.Duration) {
+// check reads from the system for how long the machine has been suspended.
+func (c *Clock) check(monotonic, offset time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.apart.Store(int64(apart))
-	c.checked.Store(int64(steady))
-	asleep, err := c.suspended()
-	slept := asleep - time.Duration(c.asleep.Load())
-	if err != nil || slept < minSlept {
+	c.offset.Store(int64(offset))
+	c.lastCheck.Store(int64(monotonic))
+	total, err := c.readSuspended()
+	newlySuspended := total - time.Duration(c.suspendedTotal.Load())
+	if err != nil || newlySuspended < minSuspension {
 		return
 	}
-	c.asleep.Store(int64(asleep))
-	go c.onWake(slept)
+	c.suspendedTotal.Store(int64(total))
+	go c.onResume(newlySuspended)
 }
 
-// suspended is for how long the machine has been suspended since it started.
-func suspended() (time.Duration, error) {
-	var apart time.Duration
-	for range looks {
+// systemSuspended returns for how long the machine has been suspended since it booted.
+func systemSuspended() (time.Duration, error) {
+	var offset time.Duration
+	for range maxReads {
 		before, err := systemClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
@@ -124,12 +126,12 @@
 		if err != nil {
 			return 0, err
 		}
-		apart = boot - after
-		if after-before < maxApart {
+		offset = boot - after
+		if after-before < maxReadTime {
 			break
 		}
 	}
-	return apart, nil
+	return offset, nil
 }
 
 func systemClock(clock int32) (time.Duration, error) {
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -9,118 +9,121 @@
 	. "github.com/onsi/gomega"
 )
 
-// machine has three clocks that a test drives apart.
+// machine simulates the clocks of a machine, which a test can advance separately.
 type machine struct {
-	steady, day, slept atomic.Int64 // since the start
-	asked              atomic.Int64 // how often it was asked for slept
+	monotonic, wall, suspendedFor atomic.Int64 // since the start
+	reads                         atomic.Int64 // number of calls of suspended
 }
 
-func (m *machine) read() (steady, day time.Duration) {
-	return time.Duration(m.steady.Load()), time.Duration(m.day.Load())
+func (m *machine) read() (monotonic, wall time.Duration) {
+	return time.Duration(m.monotonic.Load()), time.Duration(m.wall.Load())
 }
 
 func (m *machine) suspended() (time.Duration, error) {
-	m.asked.Add(1)
-	return time.Duration(m.slept.Load()), nil
+	m.reads.Add(1)
+	return time.Duration(m.suspendedFor.Load()), nil
 }
 
-func (m *machine) pass(d time.Duration) {
-	m.steady.Add(int64(d))
-	m.day.Add(int64(d))
+// advance lets time pass while the machine runs.
+func (m *machine) advance(d time.Duration) {
+	m.monotonic.Add(int64(d))
+	m.wall.Add(int64(d))
 }
 
-// sleep suspends the machine, which its steady clock does not count.
-func (m *machine) sleep(d time.Duration) {
-	m.day.Add(int64(d))
-	m.slept.Add(int64(d))
+// suspend suspends the machine, which the monotonic clock does not count.
+func (m *machine) suspend(d time.Duration) {
+	m.wall.Add(int64(d))
+	m.suspendedFor.Add(int64(d))
 }
 
 func (m *machine) clock() *Clock {
 	c, err := newClock(time.Unix(1_000_000, 0), m.read, m.suspended)
 	if err != nil {
-		panic(err) // it never is
+		panic(err) // suspended returns no errors
 	}
 	return c
 }
 
-func TestSuspendedTimeCounts(t *testing.T) {
+func TestClockCountsSuspendedTime(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{}
 	c := m.clock()
-	woke := make(chan time.Duration, 10)
-	c.OnWake(func(slept time.Duration) { woke <- slept })
-	began := c.Now()
-	for _, asleep := range []time.Duration{100 * time.Millisecond, 3 * time.Second, time.Minute, time.Minute} {
+	resumed := make(chan time.Duration, 10)
+	c.OnResume(func(suspended time.Duration) { resumed <- suspended })
+	start := c.Now()
+	for _, suspended := range []time.Duration{100 * time.Millisecond, 3 * time.Second, time.Minute, time.Minute} {
 		before := c.Now()
-		m.sleep(asleep)
-		g.Expect(c.Now().Sub(before)).To(Equal(asleep), "at the first look")
-		g.Expect(<-woke).To(Equal(asleep))
+		m.suspend(suspended)
+		g.Expect(c.Now().Sub(before)).To(Equal(suspended), "at the first reading")
+		g.Expect(<-resumed).To(Equal(suspended))
 	}
-	g.Expect(c.Now().Sub(began)).To(Equal(2*time.Minute + 3100*time.Millisecond))
-	m.pass(time.Hour)
+	g.Expect(c.Now().Sub(start)).To(Equal(2*time.Minute + 3100*time.Millisecond))
+	m.advance(time.Hour)
 	c.Now()
-	g.Consistently(woke, "20ms").ShouldNot(Receive())
+	g.Consistently(resumed, "20ms").ShouldNot(Receive())
 }
 
-func TestTheSystemsNoiseIsNoSleep(t *testing.T) {
+func TestClockIgnoresDriftBelowTheShortestSuspension(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{}
 	c := m.clock()
-	c.OnWake(func(time.Duration) { t.Error("it did not sleep") })
+	c.OnResume(func(time.Duration) { t.Error("the machine was not suspended") })
 	before := c.Now()
-	m.sleep(minSlept - 1)
-	m.pass(checkEvery)
-	g.Expect(c.Now().Sub(before)).To(Equal(checkEvery))
+	m.suspend(minSuspension - 1)
+	m.advance(checkInterval)
+	g.Expect(c.Now().Sub(before)).To(Equal(checkInterval))
 }
 
-func TestAStepOfTheTimeOfDayMovesNothing(t *testing.T) {
+func TestClockIgnoresStepsOfTheWallClock(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{}
 	c := m.clock()
 	before := c.Now()
 	for _, step := range []time.Duration{time.Hour, -3 * time.Hour, 10 * time.Millisecond} {
-		m.day.Add(int64(step))
+		m.wall.Add(int64(step))
 		g.Expect(c.Now()).To(Equal(before))
 	}
-	asked := m.asked.Load()
-	for range 100 { // and the system is asked no more than once for each
+	reads := m.reads.Load()
+	for range 100 { // each step causes at most one call to the system
 		c.Now()
 	}
-	g.Expect(m.asked.Load()).To(Equal(asked))
+	g.Expect(m.reads.Load()).To(Equal(reads))
 }
 
-// The machine sleeps, and the time of day is stepped back by as much meanwhile.
-func TestASleepThatTheTimeOfDayHidesIsFoundWithinASecond(t *testing.T) {
+// The wall clock is stepped back during a suspension by exactly its duration, so that it
+// does not show the suspension.
+func TestSuspensionHiddenByAWallClockStepIsDetectedWithinOneCheckInterval(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{}
 	c := m.clock()
 	before := c.Now()
-	m.sleep(3 * time.Second)
-	m.day.Add(-int64(3 * time.Second))
-	m.pass(checkEvery)
-	g.Expect(c.Now().Sub(before)).To(Equal(3*time.Second + checkEvery))
+	m.suspend(3 * time.Second)
+	m.wall.Add(-int64(3 * time.Second))
+	m.advance(checkInterval)
+	g.Expect(c.Now().Sub(before)).To(Equal(3*time.Second + checkInterval))
 }
 
-func TestASystemWithoutTheClockIsSaidAndServed(t *testing.T) {
+func TestClockWorksWithoutSuspendedTimeIfTheSystemDoesNotReportIt(t *testing.T) {
 	g := NewWithT(t)
 	m := &machine{}
 	c, err := newClock(time.Unix(1_000_000, 0), m.read, func() (time.Duration, error) { return 0, errors.New("no such clock") })
 	g.Expect(err).To(HaveOccurred())
 	before := c.Now()
-	m.pass(2 * checkEvery)
-	g.Expect(c.Now().Sub(before)).To(Equal(2 * checkEvery))
+	m.advance(2 * checkInterval)
+	g.Expect(c.Now().Sub(before)).To(Equal(2 * checkInterval))
 }
 
-func TestTheSystemsClockRuns(t *testing.T) {
+func TestNewClockStartsAtTheWallClockAndAdvances(t *testing.T) {
 	g := NewWithT(t)
 	c, err := New()
 	g.Expect(err).NotTo(HaveOccurred())
 	before := c.Now()
 	g.Eventually(func() bool { return c.Now().After(before) }).Should(BeTrue())
-	g.Expect(time.Since(before)).To(BeNumerically("<", time.Minute), "it began at the time of day")
+	g.Expect(time.Since(before)).To(BeNumerically("<", time.Minute), "it starts at the wall-clock time")
 }
 
-// By hand, one run beside other load: 81 ns, 57 of time.Now, 546 of asking the system.
+// One manual run under other load took 81 ns for the clock, 57 ns for time.Now and 546 ns for
+// reading the system's clocks.
 func BenchmarkNow(b *testing.B) {
 	c, err := New()
 	if err != nil {
@@ -138,7 +141,7 @@
 	})
 	b.Run("system", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := suspended(); err != nil {
+			if _, err := systemSuspended(); err != nil {
 				b.Fatal(err)
 			}
 		}
