--- a/cmd/sprucecrank-box/main.go
+++ b/cmd/sprucecrank-box/main.go
@@ -1,4 +1,4 @@
-// Command sprucecrank-box is the daemon of an entry box.
+// Command sprucecrank-box is the daemon that runs on an entry box.
 package main
 
 import (
--- a/cmd/sprucecrank-gateway/main.go
+++ b/cmd/sprucecrank-gateway/main.go
@@ -1,6 +1,6 @@
-// Command sprucecrank-gateway is the gateway's daemon on the users' platform: it
-// reads the settings, joins the adapter (platform) and the gateway, and passes
-// signals on. SIGTERM drains the gateway, SIGHUP reads the settings again.
+// Command sprucecrank-gateway is the gateway's daemon on the users' platform. It
+// reads the settings, connects the platform adapter (package platform) to the gateway
+// and handles signals: SIGTERM and SIGINT drain the gateway, SIGHUP reloads the settings.
 package main
 
 import (
@@ -29,11 +29,11 @@
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// Before all else: until it is asked for, a hang-up ends the process.
+	// Subscribe before anything else: until then, SIGHUP terminates the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	raw, err := read()
-	settings, err := parse(raw, err)
+	raw, err := readSettings()
+	settings, err := parseSettings(raw, err)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	defer logs.Close()
 	level := new(slog.LevelVar)
 	log := slog.New(slog.NewJSONHandler(logs, &slog.HandlerOptions{Level: level}))
-	apply(settings, level)
+	applyProcessSettings(settings, level)
 	client := platform.NewClient(settings.Store, log)
 	g, err := gateway.New(settings, gateway.Options{
 		Source: client.Source(), Decode: platform.DecodeConfig, Wire: platform.Wire(),
@@ -51,58 +51,60 @@
 		return err
 	}
 	go reload(raw, hangups, log, func(changed gateway.Settings) {
-		apply(changed, level)
+		applyProcessSettings(changed, level)
 		g.Reload(changed)
 	})
 	return g.Run(ctx)
 }
 
-// memoryShare is the share of the memory that the process may use at which the
-// garbage collector begins to work harder. The rest is for what it does
-// not count, such as stacks of system threads.
-const memoryShare = 0.8
+// memoryLimitShare is the Go runtime's soft memory limit as a share of the memory
+// that the process may use (memory_mb): close to it, the garbage collector runs more
+// often. The rest is for memory that the runtime does not count, such as stacks of
+// system threads.
+const memoryLimitShare = 0.8
 
-// apply puts those settings in force that belong to the process as a whole.
-func apply(s gateway.Settings, level *slog.LevelVar) {
+// applyProcessSettings applies the settings that concern the process as a whole.
+func applyProcessSettings(s gateway.Settings, level *slog.LevelVar) {
 	level.Set(s.Level())
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * s.MemoryMB * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * s.MemoryMB * (1 << 20)))
 	}
 }
 
-func read() ([]byte, error) { return os.ReadFile(os.Getenv(platform.SettingsVariable)) }
+func readSettings() ([]byte, error) { return os.ReadFile(os.Getenv(platform.SettingsVariable)) }
 
-func parse(raw []byte, err error) (gateway.Settings, error) {
+func parseSettings(raw []byte, err error) (gateway.Settings, error) {
 	if err != nil {
 		return gateway.Settings{}, fmt.Errorf("the settings file that %s names can't be read: %w", platform.SettingsVariable, err)
 	}
 	return gateway.ParseSettings(raw)
 }
 
-// lookEvery is how often the settings file is compared with what is in force: it
-// may change without a signal.
-const lookEvery = 5 * time.Second
+// pollInterval is how often the settings file is compared with the version that was last
+// read: it may change without a signal.
+const pollInterval = 5 * time.Second
 
-// reload reads the settings again at each SIGHUP, and now and then without one;
-// bad ones change nothing. last is the file as it was read at the start.
-func reload(last []byte, hangups <-chan os.Signal, log *slog.Logger, put func(gateway.Settings)) {
-	for look := time.NewTicker(lookEvery); ; {
+// reload reads the settings again on each SIGHUP and, if the file has changed, every
+// pollInterval; invalid settings change nothing. last holds the file as it was read at
+// the start.
+func reload(last []byte, hangups <-chan os.Signal, log *slog.Logger, apply func(gateway.Settings)) {
+	for poll := time.NewTicker(pollInterval); ; {
 		hangup := false
 		select {
 		case <-hangups:
 			hangup = true
-		case <-look.C:
+		case <-poll.C:
 		}
-		raw, err := read()
+		raw, err := readSettings()
 		if !hangup && (err != nil || bytes.Equal(raw, last)) {
 			continue
 		}
 		last = raw
-		settings, err := parse(raw, err)
+		settings, err := parseSettings(raw, err)
 		if err != nil {
 			log.Error("settings not reloaded", "error", err.Error())
 			continue
 		}
-		put(settings)
+		apply(settings)
 	}
 }
--- a/cmd/sprucecrank-standin/main.go
+++ b/cmd/sprucecrank-standin/main.go
@@ -1,4 +1,4 @@
-// Command sprucecrank-standin stands in for what surrounds sprucecrank: the
+// Command sprucecrank-standin simulates the environment of sprucecrank: the
 // platform, targets, and clients.
 package main
 
--- a/cmd/sprucecrank/main.go
+++ b/cmd/sprucecrank/main.go
@@ -1,4 +1,4 @@
-// Command sprucecrank is the operators' command line.
+// Command sprucecrank is the command-line tool for operators.
 package main
 
 import (
