--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,19 +1,19 @@
-// Package gateway is the daemon that stands between clients and targets which
-// report their load, as a library. It puts the data path (internal/gateway/forward),
-// the discovery of configuration and targets (internal/gateway/discovery) and the
-// connections to targets (internal/gateway/upstream) together and runs them, and with
-// settings for them rollouts (internal/gateway/delivery).
+// Package gateway is the gateway daemon as a library: it forwards requests from clients
+// to targets that report their load. It assembles and runs the data path
+// (internal/gateway/forward), the discovery of configuration and targets
+// (internal/gateway/discovery), the connections to targets (internal/gateway/upstream)
+// and, if the settings configure them, rollouts (internal/gateway/delivery).
 //
-// It owns the sockets, the start, the reload of settings and the stop. It holds
-// nothing that must last: the store that a Source reads does. It relies on that
-// store only to learn of changes; docs/ARCHITECTURE.md says what happens when a
+// It owns the sockets, the startup, the reload of settings and the shutdown. It holds
+// no durable state: that is in the store that a Source reads. It depends on that store
+// only to learn of changes; docs/ARCHITECTURE.md describes what happens when a
 // dependency fails.
 //
 // # Usage
 //
 //	settings, err := gateway.ParseSettings(raw)
 //	g, err := gateway.New(settings, gateway.Options{Source: source, Decode: decode, Wire: wire})
-//	err = g.Run(ctx) // until ctx ends; then requests in flight are ended first
+//	err = g.Run(ctx) // until ctx is cancelled; requests in flight are completed first
 package gateway
 
 import (
@@ -43,46 +43,47 @@
 // Source reads the store; see discovery.Source.
 type Source = discovery.Source
 
-// Wire says how the gateway's surroundings spell what it speaks.
+// Wire holds the names that the gateway uses on the wire, which depend on the deployment.
 type Wire struct {
 	Headers headers.Names
-	// ReadyPath is the path of the question whether clients may come.
+	// ReadyPath is the path of the readiness check.
 	ReadyPath string
 }
 
-// Options are what a gateway takes from its process.
+// Options are the dependencies that the process provides to a gateway.
 type Options struct {
 	Source Source
-	// Decode makes a table of the configuration as the store holds it.
+	// Decode builds a routing table from the configuration as the store holds it.
 	Decode func(body []byte) (*routing.Table, error)
 	Wire   Wire
 	Log    *slog.Logger
 	Clock  func() time.Time
-	// LogDropped counts the log lines that found no room; it may be nil.
+	// LogDropped returns the number of log lines that were dropped because the buffer was
+	// full; it may be nil.
 	LogDropped func() uint64
 }
 
 // Gateway is one gateway process.
 type Gateway struct {
-	settings  atomic.Pointer[Settings]
-	places    atomic.Pointer[locality.Map]
-	options   Options
-	log       *slog.Logger
-	discovery *discovery.Follower
-	delivery  *delivery.Delivery // nil where no rollout is ever ordered
-	pool      *upstream.Pool
-	answers   *upstream.Room // for what is held of answers
-	forward   *forward.Handler
-	fatal     *fatal.Register   // requests that end targets
-	quota     *quota.Limiter    // requests of workspaces that have limits
-	signals   *signals.Registry // what targets said of themselves
-	metrics   *metrics.Metrics  // nil without an address to serve them on
-	stopping  atomic.Bool
-	assembled atomic.Bool
-	listeners listeners
+	settings       atomic.Pointer[Settings]
+	localityMap    atomic.Pointer[locality.Map]
+	options        Options
+	log            *slog.Logger
+	discovery      *discovery.Follower
+	delivery       *delivery.Delivery // nil if the settings configure no rollouts
+	pool           *upstream.Pool
+	responseMemory *upstream.Room // bounds the memory for buffered responses
+	forward        *forward.Handler
+	fatal          *fatal.Register   // requests that crash targets
+	quota          *quota.Limiter    // requests of workspaces that have limits
+	signals        *signals.Registry // state that targets advertised
+	metrics        *metrics.Metrics  // nil if the settings name no address for them
+	stopping       atomic.Bool
+	assembled      atomic.Bool
+	listeners      listeners
 }
 
-// New puts a gateway together and opens its sockets; nothing is served yet.
+// New assembles a gateway and opens its sockets; it does not serve requests yet.
 func New(s Settings, o Options) (*Gateway, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -91,7 +92,7 @@
 	if o.Clock == nil {
 		g.options.Clock = g.bootClock()
 	}
-	g.put(s)
+	g.storeSettings(s)
 	if err := g.listeners.open(s); err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -103,21 +104,22 @@
 	return g, nil
 }
 
-// bootClock is the clock that everything here goes by: it counts the time for which the
-// machine is suspended.
+// bootClock returns the clock that all parts of the gateway use. It counts the time for
+// which the machine is suspended.
 func (g *Gateway) bootClock() func() time.Time {
 	clock, err := boottime.New()
 	if err != nil {
 		g.log.Warn("suspended time is not counted", "error", err.Error())
 	}
-	clock.OnResume(g.woke)
+	clock.OnResume(g.onResume)
 	return clock.Now
 }
 
-// woke works in that the machine was suspended: requests whose time has passed are
-// answered, and connections that may have been given up on meanwhile are not trusted.
-func (g *Gateway) woke(slept time.Duration) {
-	g.log.Warn("machine was suspended", "slept_s", slept.Seconds())
+// onResume handles a suspension of the machine: requests whose deadline has passed are
+// answered, and pooled connections are closed, since the other end may have abandoned
+// them meanwhile.
+func (g *Gateway) onResume(suspended time.Duration) {
+	g.log.Warn("machine was suspended", "slept_s", suspended.Seconds())
 	if !g.assembled.Load() {
 		return
 	}
@@ -129,7 +131,7 @@
 func (g *Gateway) assemble(s Settings) error {
 	if g.listeners.metrics != nil {
 		var err error
-		if g.metrics, err = metrics.New(g.state); err != nil {
+		if g.metrics, err = metrics.New(g.metricsState); err != nil {
 			return err
 		}
 	}
@@ -140,16 +142,16 @@
 	g.signals = signals.New(signals.Options{Self: s.ID, Clock: o.Clock, Log: g.log})
 	g.discovery = discovery.New(discovery.Options{
 		Self: self, FirstStart: s.FirstStart, Seeds: func() []string { return g.settings.Load().Seeds },
-		Source: followed(o.Source, s), Decode: g.decode, Timing: timing(s), Places: g.places.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
+		Source: withoutUnusedReads(o.Source, s), Decode: g.decode, Timing: timing(s), Places: g.localityMap.Load, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
 		Fatal: g.fatal, LimitsFor: g.quota.SharingLeft, ObserveLimits: g.quota.ExtendSharing, Updates: []discovery.Updates{g.quota.Updates(), g.signals.Updates()},
 	})
 	g.quota.OnUpdate(g.discovery.Wake)
 	g.signals.OnUpdate(g.discovery.Wake)
 	g.signals.OnLeaving(g.discovery.Drain)
-	g.answers = upstream.NewRoom(answerRoom(s))
-	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Room: g.answers, Opened: g.metrics.Opened, Log: g.log})
+	g.responseMemory = upstream.NewRoom(responseMemoryLimit(s))
+	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Room: g.responseMemory, Opened: g.metrics.Opened, Log: g.log})
 	g.forward = forward.New(forward.Options{
-		Names: o.Wire.Headers, Places: g.places.Load, Snapshot: g.discovery.Snapshot, Current: g.discovery.Current,
+		Names: o.Wire.Headers, Places: g.localityMap.Load, Snapshot: g.discovery.Snapshot, Current: g.discovery.Current,
 		Gateways: g.discovery.Gateways, Fatal: g.fatal, Quota: g.quota, TrustsKeys: g.trustsKeys,
 		Signals: g.signals, Ready: g.discovery.Ready(), Pool: g.pool, Clock: o.Clock, Log: g.log, Metrics: g.metrics,
 		Retry: forward.Retry{Window: seconds(s.RetryWindow), Ratio: s.RetryRatio},
@@ -161,7 +163,8 @@
 	return nil
 }
 
-// quotaOptions are those of the register of limits, which is made before discovery.
+// quotaOptions returns the options of the quota limiter. The limiter is created before
+// discovery, so that the options refer to discovery in closures.
 func (g *Gateway) quotaOptions(self member.Box, tolerance float64) quota.Options {
 	return quota.Options{
 		Self:           self,
@@ -173,8 +176,9 @@
 	}
 }
 
-// followed is a source without what the settings say is never ordered.
-func followed(source Source, s Settings) Source {
+// withoutUnusedReads returns source without evacuations and rollouts where the settings do
+// not configure them.
+func withoutUnusedReads(source Source, s Settings) Source {
 	if s.EvacuateWithin == 0 {
 		source = source.WithoutEvacuations()
 	}
@@ -184,42 +188,44 @@
 	return source
 }
 
-// decode makes a table of the configuration. Routes that name a region that the settings
-// don't are in force all the same and refuse, which is logged once a version.
+// decode builds a routing table from the configuration. Routes that name a region that is
+// missing from the settings are in force nevertheless and refuse requests, which is logged
+// once a version.
 func (g *Gateway) decode(body []byte) (*routing.Table, error) {
 	table, err := g.options.Decode(body)
 	if err != nil {
 		return nil, err
 	}
-	places := g.places.Load()
-	unknown := slices.DeleteFunc(slices.Clone(table.Regions()), places.HasRegion)
+	halls := g.localityMap.Load()
+	unknown := slices.DeleteFunc(slices.Clone(table.Regions()), halls.HasRegion)
 	if len(unknown) > 0 {
 		g.log.Warn("configuration names unknown regions", "version", table.Version(), "regions", unknown)
 	}
 	if directory := table.Workspaces(); directory != nil && len(directory.Conflicting()) > 0 {
-		g.log.Warn("keys name nobody since several workspaces give them", "version", table.Version(), "workspaces", directory.Conflicting())
+		g.log.Warn("keys that belong to several workspaces are ignored", "version", table.Version(), "workspaces", directory.Conflicting())
 	}
 	return table, nil
 }
 
-// hasLimits says whether any workspace has a limit.
+// hasLimits reports whether any workspace has a limit.
 func (g *Gateway) hasLimits() bool {
 	table := g.discovery.Snapshot().Table()
 	return table != nil && table.Workspaces().HasLimits()
 }
 
-// trustsKeys says whether keys that are believed to be in force may be relied on. Where the
-// settings say so, those that a gateway has not learnt of for long count as revoked.
+// trustsKeys reports whether keys of the known configuration may be accepted. With
+// revoke_unconfirmed they count as revoked once the configuration has not been confirmed
+// for revoke_within_s.
 func (g *Gateway) trustsKeys() bool {
 	s := g.settings.Load()
 	return !s.RevokeUnconfirmed || g.discovery.Age() <= seconds(s.RevokeWithin)
 }
 
-// state is what the metrics show of this moment.
-func (g *Gateway) state() metrics.State {
+// metricsState returns the current values of the gauges.
+func (g *Gateway) metricsState() metrics.State {
 	state := metrics.State{
 		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHalls(),
-		AnswerBytes: g.answers.Held(), Quarantined: g.fatal.Quarantined(), LimitedTargets: g.quota.LimitedTargets(),
+		AnswerBytes: g.responseMemory.Held(), Quarantined: g.fatal.Quarantined(), LimitedTargets: g.quota.LimitedTargets(),
 		FarServices: g.forward.FarServices(), Trips: g.forward.Trips(),
 		BackingOff: len(g.signals.BackOffs()), Leaving: g.discovery.Snapshot().Leaving(),
 	}
@@ -229,20 +235,19 @@
 	if g.options.LogDropped != nil {
 		state.LogDropped = g.options.LogDropped()
 	}
-	state.Rollouts = g.rollouts()
+	state.Rollouts = g.rolloutMetrics()
 	return state
 }
 
-// put puts those settings in force that may change while the gateway runs.
-func (g *Gateway) put(s Settings) {
+// storeSettings applies the settings that may change while the gateway runs.
+func (g *Gateway) storeSettings(s Settings) {
 	g.settings.Store(&s)
-	g.places.Store(s.places())
+	g.localityMap.Store(s.localityMap())
 }
 
-// Reload puts new settings in force. Addresses and names stay as they were at
-// the start.
+// Reload applies new settings. Addresses and names stay as they were at startup.
 func (g *Gateway) Reload(s Settings) {
-	g.put(s)
-	g.answers.SetLimit(answerRoom(s))
+	g.storeSettings(s)
+	g.responseMemory.SetLimit(responseMemoryLimit(s))
 	g.log.Info("settings reloaded", "seeds", s.Seeds)
 }
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -12,9 +12,9 @@
 	metrics               net.Listener // nil if metrics are not served
 }
 
-// open opens the sockets without which a gateway can't work.
+// open opens the sockets that a gateway requires.
 func (l *listeners) open(s Settings) error {
-	for _, one := range []struct {
+	for _, spec := range []struct {
 		address string
 		set     *net.Listener
 	}{
@@ -22,18 +22,18 @@
 		{s.ReadyListen, &l.ready},
 		{s.PeerListen, &l.peers},
 	} {
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", spec.address)
 		if err != nil {
 			l.close()
-			return trace.Wrap(err, "address %s of gateway %s cannot be used; is another process on it?", one.address, s.ID)
+			return trace.Wrap(err, "address %s of gateway %s cannot be used; is another process using it?", spec.address, s.ID)
 		}
-		*one.set = listener
+		*spec.set = listener
 	}
 	return nil
 }
 
-// listenMetrics opens the socket of the metrics. A port that is taken is no
-// reason not to serve clients.
+// listenMetrics opens the socket of the metrics. The gateway serves clients even if
+// that port is in use.
 func (g *Gateway) listenMetrics(s Settings) {
 	if s.MetricsListen == "" {
 		return
@@ -44,12 +44,12 @@
 	}
 }
 
-// close closes the sockets that are open; the process does not start, so that
-// nothing depends on how that goes.
+// close closes the open sockets. Errors are ignored, since the process fails to start
+// anyway.
 func (l *listeners) close() {
-	for _, one := range []net.Listener{l.clients, l.ready, l.peers, l.metrics} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.clients, l.ready, l.peers, l.metrics} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -1,19 +1,19 @@
 package gateway
 
 const (
-	// answerShare is the share of the memory (memory_mb) that answers on their way may
-	// hold. 23 MB of the least machine of 184 MB, 14 times what 100 long ones
-	// need; the rest is for connections, requests and what is known of targets.
-	answerShare = 0.125
-	// unboundedAnswers is their room where memory_mb is 0, in bytes. 4,000 long
-	// ones at once.
-	unboundedAnswers = 64 << 20
+	// responseMemoryShare is the share of the memory (memory_mb) that buffered responses may
+	// occupy. It is 23 MB on the smallest machine of 184 MB, 14 times what 100 long responses
+	// need; the rest is for connections, requests and the known state of targets.
+	responseMemoryShare = 0.125
+	// defaultResponseMemory is the memory for buffered responses where memory_mb is 0, in
+	// bytes. It is enough for 4,000 long responses at once.
+	defaultResponseMemory = 64 << 20
 )
 
-// answerRoom is how many bytes of answers the process may hold.
-func answerRoom(s Settings) int64 {
+// responseMemoryLimit returns how many bytes of responses the process may buffer.
+func responseMemoryLimit(s Settings) int64 {
 	if s.MemoryMB <= 0 {
-		return unboundedAnswers
+		return defaultResponseMemory
 	}
-	return int64(answerShare * s.MemoryMB * (1 << 20))
+	return int64(responseMemoryShare * s.MemoryMB * (1 << 20))
 }
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -6,9 +6,9 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestAnswersHoldAShareOfTheMemory(t *testing.T) {
+func TestResponseMemoryLimitIsAShareOfTheConfiguredMemory(t *testing.T) {
 	for memory, want := range map[float64]int64{184: 23 << 20, 536: 67 << 20, 0: 64 << 20} {
 		g := NewWithT(t)
-		g.Expect(answerRoom(Settings{MemoryMB: memory})).To(Equal(want))
+		g.Expect(responseMemoryLimit(Settings{MemoryMB: memory})).To(Equal(want))
 	}
 }
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -16,16 +16,16 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// lines hands on each log line.
-type lines chan string
+// logLines is a writer that sends each log line to a channel.
+type logLines chan string
 
-func (l lines) Write(line []byte) (int, error) {
+func (l logLines) Write(line []byte) (int, error) {
 	l <- string(bytes.Clone(line))
 	return len(line), nil
 }
 
-// configured is a store that holds one configuration and no targets.
-func configured() gateway.Source {
+// configOnlySource returns a source with one configuration and no targets.
+func configOnlySource() gateway.Source {
 	config := discovery.Newest[discovery.ConfigObject]{Revision: 3, Latest: &discovery.ConfigObject{Version: 7, Body: []byte("{}")}}
 	return gateway.Source{
 		Config: func(context.Context) (discovery.Newest[discovery.ConfigObject], error) { return config, nil },
@@ -46,16 +46,16 @@
 	}
 }
 
-func TestAConfigurationThatNamesAnUnknownRegionIsInForceAndSaysSoOnce(t *testing.T) {
+func TestConfigurationWithUnknownRegionIsAppliedAndWarnedAboutOnce(t *testing.T) {
 	g := NewWithT(t)
-	s, err := gateway.ParseSettings(document(func(d map[string]any) {
+	s, err := gateway.ParseSettings(settingsDocument(func(d map[string]any) {
 		d["listen"], d["ready_listen"], d["peer_listen"] = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 		d["region"], d["regions"] = "north", map[string]string{"hall-a": "north", "hall-b": "south"}
 	}))
 	g.Expect(err).NotTo(HaveOccurred())
-	log := make(lines, 100)
+	log := make(logLines, 100)
 	gw, err := gateway.New(s, gateway.Options{
-		Source: configured(), Log: slog.New(slog.NewJSONHandler(log, nil)),
+		Source: configOnlySource(), Log: slog.New(slog.NewJSONHandler(log, nil)),
 		Wire: gateway.Wire{ReadyPath: "/ready"},
 		Decode: func([]byte) (*routing.Table, error) {
 			return routing.New(routing.Config{Version: 7, Routes: []routing.Route{
@@ -65,23 +65,23 @@
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan error)
-	go func() { ended <- gw.Run(ctx) }()
-	var said []string
+	done := make(chan error)
+	go func() { done <- gw.Run(ctx) }()
+	var warnings []string
 	for line := range log {
 		if strings.Contains(line, "unknown regions") {
-			said = append(said, line)
+			warnings = append(warnings, line)
 		}
 		if strings.Contains(line, "configuration in force") {
 			break
 		}
 	}
 	stop()
-	g.Eventually(ended, 30*time.Second).Should(Receive(BeNil()))
+	g.Eventually(done, 30*time.Second).Should(Receive(BeNil()))
 	for len(log) > 0 {
 		if line := <-log; strings.Contains(line, "unknown regions") {
-			said = append(said, line)
+			warnings = append(warnings, line)
 		}
 	}
-	g.Expect(said).To(ConsistOf(ContainSubstring(`"version":7,"regions":["west"]`)))
+	g.Expect(warnings).To(ConsistOf(ContainSubstring(`"version":7,"regions":["west"]`)))
 }
--- a/gateway/rollout.go
+++ b/gateway/rollout.go
@@ -9,7 +9,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/metrics"
 )
 
-// limits are the bounds as the decisions take them.
+// limits converts the settings to the limits that rollout decisions use.
 func (r RolloutSettings) limits() rollout.Limits {
 	return rollout.Limits{Share: r.ExposureShare, Slack: int(r.ExposureSlack), RollBackWithin: seconds(r.RollbackWithin)}
 }
@@ -20,19 +20,21 @@
 		Rollouts: g.discovery.Rollouts, Changed: g.discovery.Changed, Age: g.discovery.Age,
 		Reads: g.discovery.Reads, Leaving: g.stopping.Load,
 		Peers: g.discovery.Peers, Standing: g.discovery.Standing,
-		Reports: g.reports, Record: g.options.Source.RecordRollout,
+		Reports: g.rolloutReports, Record: g.options.Source.RecordRollout,
 		Clock: g.options.Clock, Metrics: g.metrics, Log: g.log,
 	}
 }
 
-// reports are this gateway's counts for the rollouts under way; those for others are dropped.
-func (g *Gateway) reports(underWay []catalog.Rollout) []rollout.Report {
-	g.forward.KeepReports(underWay)
-	return g.forward.Reports(underWay)
+// rolloutReports returns this gateway's counts for the rollouts in progress and drops those
+// for all others.
+func (g *Gateway) rolloutReports(inProgress []catalog.Rollout) []rollout.Report {
+	g.forward.KeepReports(inProgress)
+	return g.forward.Reports(inProgress)
 }
 
-// services are what other gateways may call besides the exchange.
-func (g *Gateway) services() []discovery.Service {
+// peerServices returns the RPC services that peers may call in addition to the exchange of
+// updates.
+func (g *Gateway) peerServices() []discovery.Service {
 	services := []discovery.Service{g.quota.Service()}
 	if g.delivery != nil {
 		services = append(services, g.delivery.Service())
@@ -40,24 +42,24 @@
 	return services
 }
 
-// rollouts are what the metrics show of the rollouts that are known.
-func (g *Gateway) rollouts() []metrics.Rollout {
+// rolloutMetrics returns the metrics of the known rollouts.
+func (g *Gateway) rolloutMetrics() []metrics.Rollout {
 	if g.delivery == nil {
 		return nil
 	}
 	var out []metrics.Rollout
 	for _, r := range g.discovery.Rollouts() {
-		shown := metrics.Rollout{Service: r.Service, Version: r.Version, State: r.State.String(), Permille: r.Permille}
+		exported := metrics.Rollout{Service: r.Service, Version: r.Version, State: r.State.String(), Permille: r.Permille}
 		for _, report := range g.forward.Reports([]catalog.Rollout{r}) {
-			shown.Sends = sends(report)
+			exported.Sends = sumSends(report)
 		}
-		out = append(out, shown)
+		out = append(out, exported)
 	}
 	return out
 }
 
-// sends sums the counts of a report by side and result.
-func sends(r rollout.Report) []metrics.RolloutSends {
+// sumSends adds up the counts of a report by version (canary or not) and result.
+func sumSends(r rollout.Report) []metrics.RolloutSends {
 	var out []metrics.RolloutSends
 	for _, canary := range []bool{false, true} {
 		var sum rollout.Counts
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// retainEvery is how often idle connections are looked through.
-	retainEvery = time.Second
+	// cleanupInterval is how often idle connections and quarantined requests are cleaned up.
+	cleanupInterval = time.Second
 )
 
-// Shares of the time for a stop (stop_within_s).
+// Shares of the time for a shutdown (stop_within_s).
 const (
-	// acceptShare is the share in which clients that have not yet learnt of the
-	// stop are still served. The users' platform notices within seconds.
+	// acceptShare is the share during which new requests are still served, since clients
+	// may not have noticed the shutdown yet. The users' platform notices it within seconds.
 	acceptShare = 0.5
-	// endShare is the share after which the process ends, whatever goes on, since
-	// it is killed at the end.
-	endShare = 0.9
+	// forcedStopShare is the share after which the process exits even with requests in
+	// flight, since it is killed at the end of the time.
+	forcedStopShare = 0.9
 )
 
-// Run serves until ctx ends. Then the gateway is drained: it calls itself not
-// ready, goes on serving while clients still come, ends its requests and stops.
+// Run serves until ctx is cancelled. Then the gateway drains: it reports that it is not
+// ready, still serves new requests for a while, completes the requests in flight and stops.
 func (g *Gateway) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	duties, endDuties := context.WithCancel(context.WithoutCancel(ctx))
-	defer endDuties()
+	taskCtx, cancelTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelTasks()
 	var group run.Group
-	g.addDuties(duties, &group, endDuties)
+	g.addTasks(taskCtx, &group, cancelTasks)
 	g.addServers(&group)
 	g.addClients(ctx, &group, stop)
 	g.log.Info("started", "listen", g.listeners.clients.Addr().String(), "hall", g.settings.Load().Hall)
@@ -52,24 +52,24 @@
 	return trace.Wrap(err)
 }
 
-// addDuties adds what works in the background until the group ends.
-func (g *Gateway) addDuties(ctx context.Context, group *run.Group, end func()) {
-	duties := append(g.discovery.Duties(), pause.Every(retainEvery, g.retain))
-	duties = append(duties, g.quota.Duties()...)
-	duties = append(duties, g.signals.Duties()...)
+// addTasks adds the background tasks, which run until the group ends.
+func (g *Gateway) addTasks(ctx context.Context, group *run.Group, cancel func()) {
+	tasks := append(g.discovery.Duties(), pause.Every(cleanupInterval, g.cleanUp))
+	tasks = append(tasks, g.quota.Duties()...)
+	tasks = append(tasks, g.signals.Duties()...)
 	if g.delivery != nil {
-		duties = append(duties, g.delivery.Duties()...)
+		tasks = append(tasks, g.delivery.Duties()...)
 	}
-	for _, duty := range duties {
-		group.Add(func() error { return lifecycle.RunUntilCancelled(ctx, duty) }, func(error) { end() })
+	for _, task := range tasks {
+		group.Add(func() error { return lifecycle.RunUntilCancelled(ctx, task) }, func(error) { cancel() })
 	}
 }
 
-// addServers adds what answers other gateways, the platform and the operators.
-// The errors of closing say nothing: the group has ended then.
+// addServers adds the servers for other gateways, the platform and the operators.
+// Errors on closing are ignored, since the group has ended by then.
 func (g *Gateway) addServers(group *run.Group) {
 	peers := g.listeners.peers
-	group.Add(func() error { return g.discovery.Serve(peers, g.services()...) }, func(error) { _ = peers.Close() })
+	group.Add(func() error { return g.discovery.Serve(peers, g.peerServices()...) }, func(error) { _ = peers.Close() })
 	addServer(group, &http.Server{Handler: http.HandlerFunc(g.serveReady)}, g.listeners.ready)
 	if g.listeners.metrics != nil {
 		addServer(group, &http.Server{Handler: g.metrics.Handler()}, g.listeners.metrics)
@@ -80,7 +80,8 @@
 	group.Add(func() error { return server.Serve(listener) }, func(error) { _ = server.Close() })
 }
 
-// addClients adds what serves clients, and what drains the gateway when ctx ends.
+// addClients adds the server for clients and an actor that drains the gateway when ctx is
+// cancelled.
 func (g *Gateway) addClients(ctx context.Context, group *run.Group, stop func()) {
 	clients := pipeline.New(pipeline.Options{
 		Handler: g.forward, Safe: g.forward.Repeatable, Limits: g.forward.Limits,
@@ -97,14 +98,14 @@
 	}, func(error) { stop() })
 }
 
-// drain stops the gateway as planned.
+// drain shuts the gateway down gracefully.
 func (g *Gateway) drain(ctx context.Context, clients *pipeline.Server) error {
 	within := seconds(g.settings.Load().StopWithin)
 	g.log.Info("stopping", "within_s", within.Seconds(), "active", g.forward.Active())
 	g.stopping.Store(true)
 	g.discovery.SetLeaving()
 	time.Sleep(time.Duration(acceptShare * float64(within)))
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration((endShare-acceptShare)*float64(within)))
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Duration((forcedStopShare-acceptShare)*float64(within)))
 	defer cancel()
 	if err := clients.Shutdown(ctx); err != nil {
 		g.metrics.Cut(g.forward.Active())
@@ -135,9 +136,9 @@
 	}
 }
 
-// retain closes connections to targets that are gone or that are idle for too long, and
-// forgets quarantined requests that have not come for long.
-func (g *Gateway) retain(context.Context) {
+// cleanUp closes connections that have been idle for too long or whose targets are gone, and
+// removes quarantined requests that have not been seen for a long time.
+func (g *Gateway) cleanUp(context.Context) {
 	g.fatal.Tick()
 	known := map[catalog.Life]bool{}
 	for _, t := range g.discovery.Snapshot().Connectable() {
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -10,29 +10,28 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/locality"
 )
 
-// Settings are what a gateway is given at its start and at each reload.
+// Settings holds the settings of a gateway, which it reads at startup and at each reload.
 type Settings struct {
 	// ID names the gateway; it is unique in the fleet.
 	ID string `json:"id"`
-	// Hall is where the gateway stands.
+	// Hall is the hall in which the gateway is located.
 	Hall string `json:"hall"`
-	// Region is where that hall stands; empty where the fleet knows no regions.
+	// Region is the region of that hall; empty if the fleet has no regions.
 	Region string `json:"region,omitempty"`
-	// Regions holds the region of each hall in which targets or gateways may stand. In a
-	// fleet that spans regions, targets of a hall that is left out get requests only
-	// where the own region has none or has lost most of its own. Without it, all halls
-	// stand in Region.
+	// Regions maps each hall that may hold targets or gateways to its region. In a fleet
+	// that spans regions, targets of a hall that is left out get requests only if the own
+	// region has no targets or has lost most of them. Without it, all halls are in Region.
 	Regions map[string]string `json:"regions,omitempty"`
-	// Listen is where clients come in, IP number and port.
+	// Listen is the address for clients, IP address and port.
 	Listen string `json:"listen"`
-	// ReadyListen answers whether the gateway takes new clients.
+	// ReadyListen is the address of the readiness check.
 	ReadyListen string `json:"ready_listen"`
-	// PeerListen is where other gateways ask for updates.
+	// PeerListen is the address on which other gateways request updates.
 	PeerListen string `json:"peer_listen"`
 	// PeerAdvertise is the address under which other gateways reach PeerListen;
 	// empty where that is PeerListen itself.
 	PeerAdvertise string `json:"peer_advertise,omitempty"`
-	// MetricsListen serves metrics; empty for none.
+	// MetricsListen is the address on which metrics are served; empty for none.
 	MetricsListen string `json:"metrics_listen,omitempty"`
 	// FirstStart says that the whole fleet is starting for the first time.
 	FirstStart bool `json:"first_start,omitempty"`
@@ -46,25 +45,24 @@
 	// must be known, in seconds.
 	ApplyWithin float64 `json:"apply_within_s"`
 	// EvacuateWithin is the time within which an evacuation of a hall must be in force,
-	// in seconds; 0 or left out where no hall is ever evacuated, which saves calls to
-	// the store.
+	// in seconds; 0 or omitted if halls are never evacuated, which saves calls to the store.
 	EvacuateWithin float64 `json:"evacuate_within_s,omitempty"`
-	// RevokeUnconfirmed has keys of workspaces refused while the configuration has not been
-	// confirmed for RevokeWithin seconds: they may have been revoked. Without it they stay in
-	// force as they were last known.
+	// RevokeUnconfirmed rejects the keys of workspaces while the configuration has not been
+	// confirmed for RevokeWithin seconds, since they may have been revoked. Without it, the
+	// last known keys stay valid.
 	RevokeUnconfirmed bool    `json:"revoke_unconfirmed,omitempty"`
 	RevokeWithin      float64 `json:"revoke_within_s,omitempty"`
-	// QuotaTolerance is how many requests more than its limit allows a workspace may have
-	// admitted in any window, whatever fails.
+	// QuotaTolerance is by how many requests the admitted requests of a workspace may exceed
+	// its limit in any window, whatever fails.
 	QuotaTolerance float64 `json:"quota_tolerance,omitempty"`
-	// Rollout bounds rollouts; left out where none is ever ordered, which saves calls to
-	// the store.
+	// Rollout bounds rollouts; omitted if there are never any, which saves calls to the
+	// store.
 	Rollout *RolloutSettings `json:"rollout,omitempty"`
-	// WatchTrust is how long a waiting watch of the store may be trusted that
-	// says nothing, in seconds: a store that lost its history may not wake it.
+	// WatchTrust is how long a pending watch of the store may be trusted without a
+	// response, in seconds: a store that lost its history may not complete it.
 	WatchTrust float64 `json:"watch_trust_s"`
-	// RestoreWithin is how soon after an outage of the store the entries of
-	// targets that lapsed meanwhile are there again, in seconds.
+	// RestoreWithin is the time after an outage of the store within which entries of
+	// targets that expired during the outage reappear, in seconds.
 	RestoreWithin float64 `json:"restore_within_s"`
 	// StopWithin is the time from the signal to stop until the process is
 	// killed, in seconds.
@@ -77,19 +75,20 @@
 	LogLevel string `json:"log_level,omitempty"`
 }
 
-// RolloutSettings bound what a version on trial may do before it is known to be bad.
+// RolloutSettings bounds the requests that a canary version may get before it is found to be
+// bad.
 type RolloutSettings struct {
-	// ExposureShare and ExposureSlack bound the requests that a bad version may get: this
-	// share of all that reach its service from the order to its deadline, and so many
-	// more.
+	// ExposureShare and ExposureSlack bound the requests that a bad version may get:
+	// ExposureShare of all requests to its service from the order of the rollout to its
+	// deadline, plus ExposureSlack requests.
 	ExposureShare float64 `json:"exposure_share"`
 	ExposureSlack float64 `json:"exposure_slack"`
-	// RollbackWithin is how soon after its first bad answers, as many as ExposureSlack,
-	// nothing more may be sent to it, in seconds.
+	// RollbackWithin is the time after its first ExposureSlack bad responses within which
+	// requests to it must have stopped, in seconds.
 	RollbackWithin float64 `json:"rollback_within_s"`
 }
 
-// check reports the first field that can't be used.
+// check returns an error for the first invalid field.
 func (r *RolloutSettings) check() error {
 	switch {
 	case r == nil:
@@ -104,8 +103,8 @@
 	return nil
 }
 
-// Defaults of what a settings document may leave out, in seconds but for the ratio.
-// The box allows a tenth of second sends, too.
+// Defaults of the optional settings, in seconds except for the ratio. The box, too, allows
+// second sends for a tenth of the requests.
 const (
 	defaultApplyWithin = 2.0
 	defaultStopWithin  = 6.0
@@ -115,7 +114,7 @@
 	defaultRetryWindow = 10.0
 )
 
-// ParseSettings reads and checks a settings document.
+// ParseSettings parses and validates a settings document.
 func ParseSettings(raw []byte) (Settings, error) {
 	s := Settings{
 		ApplyWithin: defaultApplyWithin, StopWithin: defaultStopWithin, WatchTrust: defaultWatchTrust,
@@ -127,9 +126,9 @@
 	return s, s.Check()
 }
 
-// Check reports the first field that can't be used, with what it should hold.
+// Check returns an error for the first invalid field, which also names the valid values.
 func (s Settings) Check() error {
-	for _, check := range []func() error{s.checkAddresses, s.checkTimes, s.checkRest, s.checkRegions, s.Rollout.check} {
+	for _, check := range []func() error{s.checkAddresses, s.checkTimes, s.checkOtherFields, s.checkRegions, s.Rollout.check} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -163,8 +162,8 @@
 	return nil
 }
 
-// checkRegions refuses settings by which the own region is unknown or said twice: a
-// gateway that believed it stood elsewhere would send everything far.
+// checkRegions rejects settings in which the own region is unknown or contradictory: a
+// gateway with the wrong region would send all requests to remote targets.
 func (s Settings) checkRegions() error {
 	for hall, region := range s.Regions {
 		if hall == "" || region == "" {
@@ -181,10 +180,10 @@
 	return nil
 }
 
-// places is where halls stand, as this gateway sees it.
-func (s Settings) places() *locality.Map { return locality.New(s.Hall, s.Region, s.Regions) }
+// localityMap returns the regions of the halls from the point of view of this gateway.
+func (s Settings) localityMap() *locality.Map { return locality.New(s.Hall, s.Region, s.Regions) }
 
-func (s Settings) checkRest() error {
+func (s Settings) checkOtherFields() error {
 	if s.ID == "" || s.Hall == "" {
 		return fmt.Errorf("settings fields id (%q) and hall (%q) must both be given", s.ID, s.Hall)
 	}
@@ -209,9 +208,9 @@
 	return nil
 }
 
-// Level is the least level of the log lines that are written.
+// Level returns the minimum level of log lines that are written.
 func (s Settings) Level() slog.Level {
-	level, _ := s.level() // Check has read it
+	level, _ := s.level() // Check has validated it
 	return level
 }
 
@@ -222,7 +221,7 @@
 	return level, err
 }
 
-// peerAddress is where other gateways ask for updates.
+// peerAddress returns the address on which other gateways request updates.
 func (s Settings) peerAddress() string {
 	if s.PeerAdvertise != "" {
 		return s.PeerAdvertise
--- a/gateway/settings_test.go
+++ b/gateway/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/sprucecrank/sprucecrank/gateway"
 )
 
-func document(change func(map[string]any)) []byte {
+func settingsDocument(change func(map[string]any)) []byte {
 	d := map[string]any{
 		"id": "gateway-1", "hall": "hall-a", "listen": "10.0.0.1:80", "ready_listen": "10.0.0.1:81",
 		"peer_listen": "10.0.0.1:82", "store": "10.0.0.9:83", "apply_within_s": 2, "watch_trust_s": 3,
@@ -23,15 +23,15 @@
 	return raw
 }
 
-func TestSettingsAreTakenWithDefaults(t *testing.T) {
+func TestParseSettingsAppliesDefaults(t *testing.T) {
 	g := NewWithT(t)
-	s, err := gateway.ParseSettings(document(func(d map[string]any) { delete(d, "retry_ratio") }))
+	s, err := gateway.ParseSettings(settingsDocument(func(d map[string]any) { delete(d, "retry_ratio") }))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.RetryRatio).To(Equal(0.1))
 	g.Expect(s.ApplyWithin).To(Equal(2.0))
 }
 
-func TestRegionsMayBeLeftOut(t *testing.T) {
+func TestParseSettingsValidatesRegions(t *testing.T) {
 	for name, c := range map[string]struct {
 		region  any
 		regions any
@@ -40,21 +40,21 @@
 		"neither":                   {nil, nil, true},
 		"one region for all halls":  {"north", nil, true},
 		"both":                      {"north", map[string]string{"hall-a": "north", "hall-b": "south"}, true},
-		"the own by the list":       {"", map[string]string{"hall-a": "north", "hall-b": "south"}, true},
-		"the own hall not listed":   {"north", map[string]string{"hall-b": "south"}, true},
-		"the own region unknown":    {"", map[string]string{"hall-b": "south"}, false},
+		"own region from the list":  {"", map[string]string{"hall-a": "north", "hall-b": "south"}, true},
+		"own hall not listed":       {"north", map[string]string{"hall-b": "south"}, true},
+		"own region unknown":        {"", map[string]string{"hall-b": "south"}, false},
 		"a hall without its region": {"north", map[string]string{"hall-b": ""}, false},
 		"a region without its hall": {"north", map[string]string{"": "south"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, err := gateway.ParseSettings(document(func(d map[string]any) { d["region"], d["regions"] = c.region, c.regions }))
+			_, err := gateway.ParseSettings(settingsDocument(func(d map[string]any) { d["region"], d["regions"] = c.region, c.regions }))
 			g.Expect(err == nil).To(Equal(c.valid), "%v", err)
 		})
 	}
 }
 
-func TestBadSettingsNameTheFieldAndTheRemedy(t *testing.T) {
+func TestInvalidSettingsAreReportedWithFieldAndExpectedValue(t *testing.T) {
 	for field, c := range map[string]struct {
 		value any
 		want  string
@@ -74,7 +74,7 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			g := NewWithT(t)
-			_, err := gateway.ParseSettings(document(func(d map[string]any) {
+			_, err := gateway.ParseSettings(settingsDocument(func(d map[string]any) {
 				d["regions"] = map[string]string{"hall-a": "north"}
 				d[field] = c.value
 			}))
@@ -83,9 +83,9 @@
 	}
 }
 
-func TestATakenAddressIsSaid(t *testing.T) {
+func TestNewReportsTheAddressThatCannotBeUsed(t *testing.T) {
 	g := NewWithT(t)
-	s, err := gateway.ParseSettings(document(func(d map[string]any) {
+	s, err := gateway.ParseSettings(settingsDocument(func(d map[string]any) {
 		d["listen"], d["ready_listen"], d["peer_listen"] = "127.0.0.1:0", "127.0.0.1:0", "192.0.2.1:1"
 	}))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -94,7 +94,7 @@
 }
 
 func FuzzParseSettings(f *testing.F) {
-	f.Add(document(func(map[string]any) {}))
+	f.Add(settingsDocument(func(map[string]any) {}))
 	f.Add([]byte(`{"listen":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := gateway.ParseSettings(raw); err == nil && s.Check() != nil {
--- a/gateway/timing.go
+++ b/gateway/timing.go
@@ -6,42 +6,42 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// Shares of the time within which an update must be in force (inForceWithin)
-// that the ways of hearing it may take, so that two that fail one after the other
-// still fit: a question to another gateway (0.27 with its slack), then the own
-// reading of a standby (0.5) or of any other, one after the other from 0.55 on and all
-// by 0.8.
+// Shares of the time within which an update must be in force (inForceWithin).
+// They are chosen so that the update still arrives in time if two ways of
+// receiving it fail one after the other: a poll of another gateway (0.27 with its slack)
+// comes first, then a standby reads the store itself (at 0.5), then any other
+// gateway does, one after the other from 0.55 on and all by 0.8.
 const (
-	pollShare      = 0.15
-	pollSlackShare = 0.12
-	silentShare    = 0.5
-	aloneShare     = 0.55
-	lastShare      = 0.8
-	// pingShare is the pause between two pings of the store: a tenth of a call
-	// each, five a second at the users' setting (docs/DESIGN.md, "Costs").
+	pollShare           = 0.15
+	pollSlackShare      = 0.12
+	standbyReadShare    = 0.5
+	otherReadsFromShare = 0.55
+	otherReadsByShare   = 0.8
+	// pingShare is the interval between two pings of the store. A ping costs a tenth of
+	// a call; at the users' setting there are five a second (docs/DESIGN.md, "Costs").
 	pingShare = 0.1
-	// batchShare is the pause after an update in which more may gather, and
-	// aloneBatchShare that pause where nobody has to learn of it.
-	batchShare      = 0.15
-	aloneBatchShare = 0.4
+	// batchShare is the delay after an update during which further updates are
+	// batched, and noPeersBatchShare is that delay where no peer waits for updates.
+	batchShare        = 0.15
+	noPeersBatchShare = 0.4
 )
 
 const (
-	// watchShare is the share of the time for which a silent watch may be trusted
-	// (watch_trust_s) that it waits. With one of 4.5 s two days broke the
-	// rule on configurations (docs/INCIDENTS.md).
+	// watchShare is how long a watch waits for changes, as a share of the time for which
+	// a watch without a response may be trusted (watch_trust_s). With one of 4.5 s, the
+	// rule on configurations was broken on two days (docs/INCIDENTS.md).
 	watchShare = 0.8
-	// restoreShare is the share of that time after an outage of the store by whose end
-	// targets are read again, however late entries may come back: from its end on, what
-	// the store says must be kept to. The rest is for the reading itself.
+	// restoreShare is the share of watch_trust_s after an outage of the store by whose end
+	// targets are read again, however late entries may reappear: once watch_trust_s is
+	// over, the gateway must follow the store. The rest is for the read itself.
 	restoreShare = 0.8
-	// watchSlack is how much later than it waits the answer of a watch may come.
-	// The store answers in milliseconds.
+	// watchSlack is how long after the end of its wait the response of a watch may arrive.
+	// The store responds within milliseconds.
 	watchSlack = 200 * time.Millisecond
 )
 
-// inForceWithin is the time within which whatever is read must be in force, in seconds:
-// all is confirmed together, so that the shortest bound holds for all.
+// inForceWithin returns the time within which all data that is read must be in force, in
+// seconds: all of it is confirmed together, so that the shortest bound applies to all.
 func inForceWithin(s Settings) float64 {
 	if s.EvacuateWithin > 0 {
 		return min(s.ApplyWithin, s.EvacuateWithin)
@@ -49,18 +49,18 @@
 	return s.ApplyWithin
 }
 
-// timing derives the times of the discovery from the settings.
+// timing derives the intervals and timeouts of the discovery from the settings.
 func timing(s Settings) discovery.Timing {
 	within := inForceWithin(s)
 	return discovery.Timing{
 		Poll:        seconds(pollShare * within),
 		PollSlack:   seconds(pollSlackShare * within),
-		SilentAfter: seconds(silentShare * within),
-		AloneAfter:  seconds(aloneShare * within),
-		LastAfter:   seconds(lastShare * within),
+		SilentAfter: seconds(standbyReadShare * within),
+		AloneAfter:  seconds(otherReadsFromShare * within),
+		LastAfter:   seconds(otherReadsByShare * within),
 		Ping:        seconds(pingShare * within),
 		Batch:       seconds(batchShare * within),
-		AloneBatch:  seconds(aloneBatchShare * within),
+		AloneBatch:  seconds(noPeersBatchShare * within),
 		Watch:       seconds(watchShare*s.WatchTrust) - watchSlack,
 		WatchSlack:  watchSlack,
 		OutageAfter: seconds(s.WatchTrust),
