--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -74,7 +74,7 @@
 	pool           *upstream.Pool
 	responseMemory *upstream.Room // bounds the memory for buffered responses
 	forward        *forward.Handler
-	fatal          *fatal.Register   // requests that crash targets
+	fatal          *fatal.Register   // requests during which targets ended
 	quota          *quota.Limiter    // requests of workspaces that have limits
 	signals        *signals.Registry // state that targets advertised
 	metrics        *metrics.Metrics  // nil if the settings name no address for them
