--- a/core/gateway/placement/decide.go
+++ b/core/gateway/placement/decide.go
@@ -128,7 +128,7 @@
 	case RefuseEvacuated:
 		return verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all targets of the service stand in halls that are evacuated")
 	case RefuseRegion:
-		return verdict.New(verdict.NotRun, verdict.ReasonRegion, "no target of the service stands in a region that the route and the workspace allow")
+		return verdict.New(verdict.NotRun, verdict.ReasonRegionNotAllowed, "no target of the service stands in a region that the route and the workspace allow")
 	case RefuseSpent:
 		return RefusalOfSpent(d.opensIn)
 	case RefuseBackOff:
@@ -144,7 +144,7 @@
 // RefusalOfSpent is that of a request for which no target has credit by the limit that it names;
 // creditIn is when there may be some.
 func RefusalOfSpent(creditIn time.Duration) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.ReasonTargetsSpent, "all targets have got as many requests as the limits allow that they name").
+	return verdict.New(verdict.NotRun, verdict.ReasonTargetLimits, "all targets have got as many requests as the limits allow that they name").
 		WithRetryAfter(creditIn)
 }
 
--- a/internal/cli/timeline/timeline.go
+++ b/internal/cli/timeline/timeline.go
@@ -145,14 +145,14 @@
 
 // causes are those that a reason tells whole.
 var causes = map[verdict.Reason]string{
-	verdict.ReasonNotReady:       "the gateway did not know enough: it had just begun, or its configuration was not confirmed lately",
-	verdict.ReasonNoTarget:       "no target of the service was known",
-	verdict.ReasonEvacuated:      "all targets of the service stand in halls that are evacuated",
-	verdict.ReasonRegion:         "no target of the service stands in a region that the route allows",
-	verdict.ReasonQuarantined:    "three targets or more ended under this request; lines \"request quarantined\" with its content name them",
-	verdict.ReasonTargetsSpent:   "all targets of the service had got as many requests as the limits allow that they name; lines \"limit of a target\" say which these are",
-	verdict.ReasonTargetsBackOff: "all targets of the service had asked to be sent nothing for a while; lines \"target asks for back-off\" say which and for how long",
-	verdict.ReasonUnreachable:    "no connection to any target could be made",
+	verdict.ReasonNotReady:         "the gateway did not know enough: it had just begun, or its configuration was not confirmed lately",
+	verdict.ReasonNoTarget:         "no target of the service was known",
+	verdict.ReasonEvacuated:        "all targets of the service stand in halls that are evacuated",
+	verdict.ReasonRegionNotAllowed: "no target of the service stands in a region that the route allows",
+	verdict.ReasonQuarantined:      "three targets or more ended under this request; lines \"request quarantined\" with its content name them",
+	verdict.ReasonTargetLimits:     "all targets of the service had got as many requests as the limits allow that they name; lines \"limit of a target\" say which these are",
+	verdict.ReasonTargetsBackOff:   "all targets of the service had asked to be sent nothing for a while; lines \"target asks for back-off\" say which and for how long",
+	verdict.ReasonUnreachable:      "no connection to any target could be made",
 }
 
 // Cause says in words what the end of the request was due to.
--- a/internal/gateway/forward/balancer.go
+++ b/internal/gateway/forward/balancer.go
@@ -111,7 +111,7 @@
 		return quarantine.LapseAfter()
 	case verdict.ReasonUnauthorized:
 		return 0 // the key will be no better later
-	case verdict.ReasonTargetsSpent:
+	case verdict.ReasonTargetLimits:
 		return max(failure.RetryAfter(), refusal.RetryAfter(req.deadline.Client().Sub(b.options.Clock()), b.options.Draw()))
 	case verdict.ReasonTargetsBackOff:
 		return refusal.AfterOpening(failure.RetryAfter(), req.deadline.Client().Sub(b.options.Clock()), b.options.Draw())
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,8 +1,9 @@
 // Package verdict says whether a request may have run at a target.
 //
-// Every failure on the data path carries one of three verdicts. NotRun is a
-// promise: no target began the request, so the client may safely repeat it.
-// MayHaveRun means that nobody knows. Ran means that a target answered.
+// Every failure on the data path carries one of three verdicts. NotRun
+// guarantees that no target began the request, so the client may safely repeat
+// it. MayHaveRun means that the outcome is unknown. Ran means that a target
+// answered.
 //
 // # Usage
 //
@@ -23,17 +24,17 @@
 // Verdict says whether a request may have run.
 type Verdict int
 
-// The verdicts, weakest knowledge first so that the zero value promises nothing.
+// The verdicts. MayHaveRun is the zero value because it guarantees nothing.
 const (
 	MayHaveRun Verdict = iota
 	NotRun
 	Ran
 )
 
-// Header is the response header that carries the verdict on every answer.
+// Header is the response header that carries the verdict of every answer.
 const Header = "Sprucecrank-Verdict"
 
-// String gives the wire form of the verdict.
+// String returns the verdict as it is sent in Header.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -48,39 +49,39 @@
 // Reason is the machine-readable cause of a refusal or failure.
 type Reason string
 
-// Reasons that clients and operators meet; docs/OPERATIONS.md says what to do about each.
+// Reasons that clients and operators see; docs/OPERATIONS.md says what to do about each.
 const (
-	ReasonNoService       Reason = "no-service"
-	ReasonNoTarget        Reason = "no-target"
-	ReasonEvacuated       Reason = "evacuated"
-	ReasonRegion          Reason = "region-not-allowed"
-	ReasonQuarantined     Reason = "quarantined"
-	ReasonQueueFull       Reason = "queue-full"
-	ReasonTooLate         Reason = "too-late"
-	ReasonDeadline        Reason = "deadline"
-	ReasonUnreachable     Reason = "target-unreachable"
-	ReasonShed            Reason = "target-shed"
-	ReasonTargetFailed    Reason = "target-failed"
-	ReasonAnswerTooLarge  Reason = "answer-too-large"
-	ReasonClientGone      Reason = "client-gone"
-	ReasonBadRequest      Reason = "bad-request"
-	ReasonKeyMissing      Reason = "key-missing"
-	ReasonKeyInvalid      Reason = "key-invalid"
-	ReasonKeyReused       Reason = "key-reused"
-	ReasonKeyExpired      Reason = "key-expired"
-	ReasonInProgress      Reason = "in-progress"
-	ReasonOutdated        Reason = "attempt-outdated"
-	ReasonOutcomeUnknown  Reason = "outcome-unknown"
-	ReasonAnswerNotKept   Reason = "answer-not-kept"
-	ReasonPlatformDown    Reason = "platform-unavailable"
-	ReasonNotReady        Reason = "not-ready"
-	ReasonBodyTooLarge    Reason = "body-too-large"
-	ReasonMoved           Reason = "home-moved"
-	ReasonPolicyUndecided Reason = "policy-undecided"
-	ReasonUnauthorized    Reason = "key-unknown"
-	ReasonQuota           Reason = "quota-exceeded"
-	ReasonTargetsSpent    Reason = "target-limits"
-	ReasonTargetsBackOff  Reason = "targets-back-off"
+	ReasonNoService        Reason = "no-service"
+	ReasonNoTarget         Reason = "no-target"
+	ReasonEvacuated        Reason = "evacuated"
+	ReasonRegionNotAllowed Reason = "region-not-allowed"
+	ReasonQuarantined      Reason = "quarantined"
+	ReasonQueueFull        Reason = "queue-full"
+	ReasonTooLate          Reason = "too-late"
+	ReasonDeadline         Reason = "deadline"
+	ReasonUnreachable      Reason = "target-unreachable"
+	ReasonShed             Reason = "target-shed"
+	ReasonTargetFailed     Reason = "target-failed"
+	ReasonAnswerTooLarge   Reason = "answer-too-large"
+	ReasonClientGone       Reason = "client-gone"
+	ReasonBadRequest       Reason = "bad-request"
+	ReasonKeyMissing       Reason = "key-missing"
+	ReasonKeyInvalid       Reason = "key-invalid"
+	ReasonKeyReused        Reason = "key-reused"
+	ReasonKeyExpired       Reason = "key-expired"
+	ReasonInProgress       Reason = "in-progress"
+	ReasonOutdated         Reason = "attempt-outdated"
+	ReasonOutcomeUnknown   Reason = "outcome-unknown"
+	ReasonAnswerNotKept    Reason = "answer-not-kept"
+	ReasonPlatformDown     Reason = "platform-unavailable"
+	ReasonNotReady         Reason = "not-ready"
+	ReasonBodyTooLarge     Reason = "body-too-large"
+	ReasonMoved            Reason = "home-moved"
+	ReasonPolicyUndecided  Reason = "policy-undecided"
+	ReasonUnauthorized     Reason = "key-unknown"
+	ReasonQuota            Reason = "quota-exceeded"
+	ReasonTargetLimits     Reason = "target-limits"
+	ReasonTargetsBackOff   Reason = "targets-back-off"
 )
 
 // statuses maps each reason to the HTTP status of its answer.
@@ -113,12 +114,12 @@
 	cause      error
 }
 
-// New makes an error; detail is a sentence for people.
+// New returns an Error; detail is a human-readable description.
 func New(v Verdict, reason Reason, detail string) *Error {
 	return &Error{verdict: v, reason: reason, detail: detail}
 }
 
-// WithRetryAfter returns a copy that tells the client when to come back.
+// WithRetryAfter returns a copy that tells the client to wait for d before it retries.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.retryAfter = d
@@ -139,22 +140,22 @@
 	return &c
 }
 
-// Verdict says whether the request may have run.
+// Verdict returns whether the request may have run.
 func (e *Error) Verdict() Verdict { return e.verdict }
 
-// Reason is the machine-readable cause.
+// Reason returns the machine-readable cause.
 func (e *Error) Reason() Reason { return e.reason }
 
-// Detail is a sentence for people.
+// Detail returns the human-readable description.
 func (e *Error) Detail() string { return e.detail }
 
-// RetryAfter is when to come back; 0 means that nothing is known.
+// RetryAfter returns how long the client should wait before it retries; 0 means unknown.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
 // Unwrap returns the cause, if any.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Status is the HTTP status of the answer; 503 unless the reason has its own.
+// Status returns the HTTP status of the answer: that of the reason, or 503 if it has none.
 func (e *Error) Status() int {
 	if s, ok := statuses[e.reason]; ok {
 		return s
