--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -71,7 +71,7 @@
 	discovery *discovery.Follower
 	delivery  *delivery.Delivery // nil where no rollout is ever ordered
 	pool      *upstream.Pool
-	answers   *upstream.Room // for what is held of answers
+	answers   *upstream.MemoryBudget // for what is held of answers
 	forward   *forward.Handler
 	fatal     *fatal.Register   // requests that end targets
 	quota     *quota.Limiter    // requests of workspaces that have limits
@@ -146,8 +146,8 @@
 	g.quota.OnUpdate(g.discovery.Wake)
 	g.signals.OnUpdate(g.discovery.Wake)
 	g.signals.OnLeaving(g.discovery.Drain)
-	g.answers = upstream.NewRoom(answerRoom(s))
-	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Room: g.answers, Opened: g.metrics.Opened, Log: g.log})
+	g.answers = upstream.NewMemoryBudget(answerRoom(s))
+	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Budget: g.answers, Opened: g.metrics.Opened, Log: g.log})
 	g.forward = forward.New(forward.Options{
 		Names: o.Wire.Headers, Places: g.places.Load, Snapshot: g.discovery.Snapshot, Current: g.discovery.Current,
 		Gateways: g.discovery.Gateways, Fatal: g.fatal, Quota: g.quota, TrustsKeys: g.trustsKeys,
@@ -220,7 +220,7 @@
 	state := metrics.State{
 		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHalls(),
 		AnswerBytes: g.answers.Held(), Quarantined: g.fatal.Quarantined(), LimitedTargets: g.quota.LimitedTargets(),
-		FarServices: g.forward.FarServices(), Trips: g.forward.Trips(),
+		CrossRegionServices: g.forward.FarServices(), RoundTrips: g.forward.Trips(),
 		BackingOff: len(g.signals.BackOffs()), Leaving: g.discovery.Snapshot().Leaving(),
 	}
 	if table := g.discovery.Snapshot().Table(); table != nil {
--- a/internal/gateway/forward/answer.go
+++ b/internal/gateway/forward/answer.go
@@ -19,7 +19,7 @@
 	out.Del(h.options.Names.Load)
 	out.Del(h.options.Names.Limit)
 	out.Del(h.options.Names.Leaving)
-	if !a.Whole() {
+	if !a.Buffered() {
 		h.stream(w, req, a)
 		return
 	}
--- a/internal/gateway/forward/fatal.go
+++ b/internal/gateway/forward/fatal.go
@@ -19,7 +19,7 @@
 		b.options.Fatal.NoteAnswer(req.fingerprint)
 		return false
 	}
-	if result.outcome != outcome.Broken || !b.options.Pool.Refuses(context.Background(), target) {
+	if result.outcome != outcome.Broken || !b.options.Pool.RefusesConnections(context.Background(), target) {
 		return false
 	}
 	b.options.Metrics.TargetEnded(req.service)
--- a/internal/gateway/forward/link_test.go
+++ b/internal/gateway/forward/link_test.go
@@ -150,7 +150,7 @@
 // target, in virtual time.
 type throttled struct {
 	in, out sharedLink // of the gateway, for clients and targets together
-	room    *upstream.Room
+	room    *upstream.MemoryBudget
 	clients *dialled
 	handler *forward.Handler
 	server  *pipeline.Server
@@ -162,13 +162,13 @@
 // newThrottled begins; answers of up to wholeBytes are read whole, 0 for the default.
 func newThrottled(t *testing.T, wholeBytes int, do http.HandlerFunc) *throttled {
 	t.Helper()
-	n := &throttled{in: newSharedLink(), out: newSharedLink(), room: upstream.NewRoom(23 << 20), clients: newDialled()}
+	n := &throttled{in: newSharedLink(), out: newSharedLink(), room: upstream.NewMemoryBudget(23 << 20), clients: newDialled()}
 	targets := newDialled()
 	s := &standin{do: do}
 	s.setLoad("0,0,3,100")
 	s.Target = catalog.Target{ID: "s1", Service: "shop", Hall: "a", Slots: 3, Version: "v1"}
 	n.target = &http.Server{Handler: s}
-	n.pool = upstream.New(upstream.Options{Names: names, Room: n.room, WholeBytes: wholeBytes,
+	n.pool = upstream.New(upstream.Options{Names: names, Budget: n.room, MaxBufferedBytes: wholeBytes,
 		Dial: func(context.Context, string, string) (net.Conn, error) {
 			near, far := connect(n.out, n.in)
 			targets.conns <- far
--- a/internal/gateway/forward/probe.go
+++ b/internal/gateway/forward/probe.go
@@ -210,7 +210,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	if took, isNew := conn.Opened(); isNew {
+	if took, isNew := conn.DialTime(); isNew {
 		b.places.observe(b.options.Clock(), target.Hall, took)
 	}
 	return conn, nil
--- a/internal/gateway/forward/send.go
+++ b/internal/gateway/forward/send.go
@@ -101,7 +101,7 @@
 		Method: req.in.Method, URI: req.in.RequestURI, Host: req.in.Host, Header: h, Body: req.body, ID: req.id,
 	}
 	if req.in.ProtoAtLeast(1, 1) { // an older client could not tell the end of one
-		out.Streams = streams
+		out.MayStream = streams
 	}
 	return out
 }
--- a/internal/gateway/forward/sending.go
+++ b/internal/gateway/forward/sending.go
@@ -25,14 +25,14 @@
 		s.ended(result, 0)
 		return
 	}
-	if !result.answer.Whole() {
+	if !result.answer.Buffered() {
 		s.judgement.answerBegan()
 	}
 	result.answer.OnEnd(func(failure *verdict.Error) {
 		if failure != nil {
 			result.outcome, result.failure = outcome.OfFailure(failure), failure
 		}
-		s.ended(result, result.answer.HeldBack())
+		s.ended(result, result.answer.BackpressureTime())
 	})
 }
 
--- a/internal/gateway/forward/stream_test.go
+++ b/internal/gateway/forward/stream_test.go
@@ -48,9 +48,9 @@
 }
 
 // withRoom gives the fixture room for answers.
-func (f *fixture) withRoom(bytes int64) *upstream.Room {
-	room := upstream.NewRoom(bytes)
-	f.options.Pool = upstream.New(upstream.Options{Names: names, Room: room})
+func (f *fixture) withRoom(bytes int64) *upstream.MemoryBudget {
+	room := upstream.NewMemoryBudget(bytes)
+	f.options.Pool = upstream.New(upstream.Options{Names: names, Budget: room})
 	return room
 }
 
--- a/internal/gateway/logging/logging.go
+++ b/internal/gateway/logging/logging.go
@@ -27,8 +27,8 @@
 
 // Options bound a Writer; zero values mean the defaults.
 type Options struct {
-	// Lines is how many lines may wait to be written.
-	Lines int
+	// MaxPending is how many lines may wait to be written.
+	MaxPending int
 	// PerSecond and Burst bound how many are taken in.
 	PerSecond float64
 	Burst     int
@@ -37,36 +37,36 @@
 }
 
 const (
-	// defaultLines is how many lines may wait: some seconds of the rate.
-	defaultLines = 2048
+	// defaultMaxPending is how many lines may wait: some seconds of the rate.
+	defaultMaxPending = 2048
 	// defaultPerSecond and defaultBurst bound the volume under overload. A usual
 	// day stays below; what lines cost: docs/DESIGN.md, "Costs".
 	defaultPerSecond = 300
 	defaultBurst     = 1000
-	// defaultFlush gathers lines for one write.
-	defaultFlush = 200 * time.Millisecond
+	// defaultFlushEvery gathers lines for one write.
+	defaultFlushEvery = 200 * time.Millisecond
 	// closeTimeout bounds the last write of a process that stops.
 	closeTimeout = 500 * time.Millisecond
 )
 
 // Writer takes whole lines and never blocks. It implements io.Writer.
 type Writer struct {
-	out     io.Writer
-	options Options
-	limit   *rate.Limiter
-	mu      sync.Mutex
-	waiting [][]byte
-	wake    chan struct{}
-	dropped atomic.Uint64
-	closed  chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	out       io.Writer
+	options   Options
+	limiter   *rate.Limiter
+	mu        sync.Mutex
+	pending   [][]byte
+	wake      chan struct{}
+	dropped   atomic.Uint64
+	closing   chan struct{}
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 // NewWriter begins to write to out.
 func NewWriter(out io.Writer, o Options) *Writer {
-	if o.Lines == 0 {
-		o.Lines = defaultLines
+	if o.MaxPending == 0 {
+		o.MaxPending = defaultMaxPending
 	}
 	if o.PerSecond == 0 {
 		o.PerSecond = defaultPerSecond
@@ -75,11 +75,11 @@
 		o.Burst = defaultBurst
 	}
 	if o.FlushEvery == 0 {
-		o.FlushEvery = defaultFlush
+		o.FlushEvery = defaultFlushEvery
 	}
 	w := &Writer{
-		out: out, options: o, limit: rate.NewLimiter(rate.Limit(o.PerSecond), o.Burst),
-		wake: make(chan struct{}, 1), closed: make(chan struct{}), done: make(chan struct{}),
+		out: out, options: o, limiter: rate.NewLimiter(rate.Limit(o.PerSecond), o.Burst),
+		wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{}),
 	}
 	go w.run()
 	return w
@@ -90,18 +90,18 @@
 
 // Write takes in one line; it always succeeds.
 func (w *Writer) Write(line []byte) (int, error) {
-	if !w.limit.Allow() {
+	if !w.limiter.Allow() {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.waiting) >= w.options.Lines {
+	if len(w.pending) >= w.options.MaxPending {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
-	w.waiting = append(w.waiting, bytes.Clone(line))
-	if len(w.waiting) == 1 {
+	w.pending = append(w.pending, bytes.Clone(line))
+	if len(w.pending) == 1 {
 		select {
 		case w.wake <- struct{}{}:
 		default:
@@ -115,13 +115,13 @@
 	var reported uint64
 	for {
 		select {
-		case <-w.closed:
+		case <-w.closing:
 			w.flush(&reported)
 			return
 		case <-w.wake:
 		}
 		select {
-		case <-w.closed:
+		case <-w.closing:
 		case <-time.After(w.options.FlushEvery):
 		}
 		w.flush(&reported)
@@ -131,8 +131,8 @@
 // flush writes what waits, and how many lines were dropped since the last time.
 func (w *Writer) flush(reported *uint64) {
 	w.mu.Lock()
-	lines := w.waiting
-	w.waiting = nil
+	lines := w.pending
+	w.pending = nil
 	w.mu.Unlock()
 	if dropped := w.dropped.Load(); dropped > *reported {
 		lines = append(lines, fmt.Appendf(nil, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"dropped\":%d,\"total\":%d}\n", dropped-*reported, dropped))
@@ -146,7 +146,7 @@
 
 // Close writes what waits, unless out takes nothing for too long.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.closed) })
+	w.closeOnce.Do(func() { close(w.closing) })
 	select {
 	case <-w.done:
 	case <-time.After(closeTimeout):
--- a/internal/gateway/logging/logging_test.go
+++ b/internal/gateway/logging/logging_test.go
@@ -11,21 +11,21 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/logging"
 )
 
-// blocked takes nothing until it is released.
-type blocked struct {
+// blockedWriter takes nothing until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    strings.Builder
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *blocked) String() string {
+func (b *blockedWriter) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
@@ -33,8 +33,8 @@
 
 func TestABlockedOutputHoldsUpNobodyAndWhatIsDroppedIsSaid(t *testing.T) {
 	g := NewWithT(t)
-	out := &blocked{release: make(chan struct{})}
-	w := logging.NewWriter(out, logging.Options{Lines: 10, PerSecond: 1e9, Burst: 1 << 30, FlushEvery: time.Millisecond})
+	out := &blockedWriter{release: make(chan struct{})}
+	w := logging.NewWriter(out, logging.Options{MaxPending: 10, PerSecond: 1e9, Burst: 1 << 30, FlushEvery: time.Millisecond})
 	const lines = 1000
 	for range lines { // this returns though nothing is taken
 		n, err := w.Write([]byte("{}\n"))
@@ -50,7 +50,7 @@
 
 func TestARateBoundsTheLines(t *testing.T) {
 	g := NewWithT(t)
-	out := &blocked{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	close(out.release)
 	w := logging.NewWriter(out, logging.Options{PerSecond: 0.001, Burst: 5})
 	for range 100 {
--- a/internal/gateway/metrics/gauges.go
+++ b/internal/gateway/metrics/gauges.go
@@ -9,9 +9,9 @@
 
 // gauges show the State of the moment when they are read.
 type gauges struct {
-	version, evacuated, far, active, held, quarantined, limited, backingOff, leaving metric.Int64ObservableGauge
-	age, trip                                                                        metric.Float64ObservableGauge
-	dropped                                                                          metric.Int64ObservableCounter
+	version, evacuated, crossRegion, active, held, quarantined, limited, backingOff, leaving metric.Int64ObservableGauge
+	age, roundTrip                                                                           metric.Float64ObservableGauge
+	dropped                                                                                  metric.Int64ObservableCounter
 }
 
 // observe sets the gauges up; state is read at each scrape.
@@ -23,7 +23,7 @@
 	_, err := meter.RegisterCallback(func(_ context.Context, o metric.Observer) error {
 		g.observe(o, state())
 		return nil
-	}, g.version, g.age, g.evacuated, g.far, g.trip, g.active, g.held, g.quarantined, g.limited, g.backingOff, g.leaving, g.dropped)
+	}, g.version, g.age, g.evacuated, g.crossRegion, g.roundTrip, g.active, g.held, g.quarantined, g.limited, g.backingOff, g.leaving, g.dropped)
 	return err
 }
 
@@ -47,7 +47,7 @@
 	}{
 		{&g.version, "sprucecrank.gateway.config.version", "", "The configuration's version in force."},
 		{&g.evacuated, "sprucecrank.gateway.halls.evacuated", "", "Halls whose targets get nothing since they are evacuated, by what was confirmed config.age ago."},
-		{&g.far, "sprucecrank.gateway.services.far", "", "Services with requests that go to other regions now."},
+		{&g.crossRegion, "sprucecrank.gateway.services.far", "", "Services with requests that go to other regions now."},
 		{&g.active, "sprucecrank.gateway.requests.active", "", "Requests under way."},
 		{&g.quarantined, "sprucecrank.gateway.requests.quarantined", "", "Requests that are sent to nobody since targets end under them, by content and caller."},
 		{&g.limited, "sprucecrank.gateway.targets.limited", "", "Targets that are known to name how many requests a second they take."},
@@ -70,7 +70,7 @@
 		help string
 	}{
 		{&g.age, "sprucecrank.gateway.config.age", "How long ago the configuration was confirmed to be the newest."},
-		{&g.trip, "sprucecrank.gateway.region.trip", "Lowest time there and back to each region that connections and probes took lately."},
+		{&g.roundTrip, "sprucecrank.gateway.region.trip", "Lowest time there and back to each region that connections and probes took lately."},
 	} {
 		if *f.set, err = meter.Float64ObservableGauge(f.name, metric.WithUnit("s"), metric.WithDescription(f.help)); err != nil {
 			return err
@@ -79,19 +79,19 @@
 	return nil
 }
 
-func (g *gauges) observe(o metric.Observer, now State) {
-	o.ObserveInt64(g.version, int64(now.ConfigVersion))
-	o.ObserveFloat64(g.age, now.ConfigAge)
-	o.ObserveInt64(g.evacuated, int64(now.EvacuatedHalls))
-	o.ObserveInt64(g.far, int64(now.FarServices))
-	for region, trip := range now.Trips {
-		o.ObserveFloat64(g.trip, trip.Seconds(), metric.WithAttributes(attribute.String("region", region)))
+func (g *gauges) observe(o metric.Observer, state State) {
+	o.ObserveInt64(g.version, int64(state.ConfigVersion))
+	o.ObserveFloat64(g.age, state.ConfigAge)
+	o.ObserveInt64(g.evacuated, int64(state.EvacuatedHalls))
+	o.ObserveInt64(g.crossRegion, int64(state.CrossRegionServices))
+	for region, roundTrip := range state.RoundTrips {
+		o.ObserveFloat64(g.roundTrip, roundTrip.Seconds(), metric.WithAttributes(attribute.String("region", region)))
 	}
-	o.ObserveInt64(g.active, now.Active)
-	o.ObserveInt64(g.held, now.AnswerBytes)
-	o.ObserveInt64(g.quarantined, int64(now.Quarantined))
-	o.ObserveInt64(g.limited, now.LimitedTargets)
-	o.ObserveInt64(g.backingOff, int64(now.BackingOff))
-	o.ObserveInt64(g.leaving, int64(now.Leaving))
-	o.ObserveInt64(g.dropped, int64(now.LogDropped))
+	o.ObserveInt64(g.active, state.Active)
+	o.ObserveInt64(g.held, state.AnswerBytes)
+	o.ObserveInt64(g.quarantined, int64(state.Quarantined))
+	o.ObserveInt64(g.limited, state.LimitedTargets)
+	o.ObserveInt64(g.backingOff, int64(state.BackingOff))
+	o.ObserveInt64(g.leaving, int64(state.Leaving))
+	o.ObserveInt64(g.dropped, int64(state.LogDropped))
 }
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -58,10 +58,10 @@
 	// EvacuatedHalls is how many halls are evacuated, as far as is known since
 	// ConfigAge.
 	EvacuatedHalls int
-	// FarServices is how many services have requests that go to other regions now.
-	FarServices int
-	// Trips are the times there and back to each region, as they were measured.
-	Trips map[string]time.Duration
+	// CrossRegionServices is how many services have requests that go to other regions now.
+	CrossRegionServices int
+	// RoundTrips are the times there and back to each region, as they were measured.
+	RoundTrips map[string]time.Duration
 	// Active is how many requests are under way.
 	Active int64
 	// AnswerBytes is how many bytes are held of answers on their way to clients.
@@ -204,8 +204,8 @@
 	}
 }
 
-// QuotaAsked counts a question for credit to the home of workspaces.
-func (m *Metrics) QuotaAsked(result string) {
+// QuotaRequested counts a question for credit to the home of workspaces.
+func (m *Metrics) QuotaRequested(result string) {
 	if m != nil {
 		add(m.quotaAsks, attribute.String("result", result))
 	}
--- a/internal/gateway/metrics/metrics_test.go
+++ b/internal/gateway/metrics/metrics_test.go
@@ -15,8 +15,8 @@
 	g := NewWithT(t)
 	m, err := metrics.New(func() metrics.State {
 		return metrics.State{
-			ConfigVersion: 7, ConfigAge: 0.5, EvacuatedHalls: 1, FarServices: 2, Active: 3, LogDropped: 4, AnswerBytes: 5,
-			Trips: map[string]time.Duration{"south": 40 * time.Millisecond},
+			ConfigVersion: 7, ConfigAge: 0.5, EvacuatedHalls: 1, CrossRegionServices: 2, Active: 3, LogDropped: 4, AnswerBytes: 5,
+			RoundTrips: map[string]time.Duration{"south": 40 * time.Millisecond},
 		}
 	})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/metrics/rollout.go
+++ b/internal/gateway/metrics/rollout.go
@@ -52,15 +52,15 @@
 }
 
 // RolloutWrite counts a write of a rollout's stage or verdict.
-func (m *Metrics) RolloutWrite(end string) {
+func (m *Metrics) RolloutWrite(outcome string) {
 	if m != nil {
-		add(m.rolloutWrites, attribute.String("end", end))
+		add(m.rolloutWrites, attribute.String("end", outcome))
 	}
 }
 
 // RolloutReport counts a report; way says whether it was sent or received.
-func (m *Metrics) RolloutReport(way, result string) {
+func (m *Metrics) RolloutReport(direction, result string) {
 	if m != nil {
-		add(m.rolloutReports, attribute.String("way", way), attribute.String("result", result))
+		add(m.rolloutReports, attribute.String("way", direction), attribute.String("result", result))
 	}
 }
--- a/internal/gateway/metrics/workspaces.go
+++ b/internal/gateway/metrics/workspaces.go
@@ -9,9 +9,9 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/workspace"
 )
 
-// shownWorkspaces is how many workspaces are shown apart. A scrape stays some
+// maxShownWorkspaces is how many workspaces are shown apart. A scrape stays some
 // kilobytes, however many workspaces there are.
-const shownWorkspaces = 16
+const maxShownWorkspaces = 16
 
 // outcomes are the ways in which requests of a workspace end, as metrics name them.
 var outcomes = map[workspace.Outcome]string{
@@ -20,14 +20,14 @@
 
 // observeWorkspaces shows how requests of the busiest workspaces ended, and of all others in
 // one sum without a name.
-func observeWorkspaces(meter metric.Meter, tally *workspace.Counter) error {
+func observeWorkspaces(meter metric.Meter, counter *workspace.Counter) error {
 	requests, err := meter.Int64ObservableGauge("sprucecrank.gateway.workspace.requests",
 		metric.WithDescription("Requests since the start by workspace, the busiest and one sum for the others, and how they ended."))
 	if err != nil {
 		return err
 	}
 	_, err = meter.RegisterCallback(func(_ context.Context, o metric.Observer) error {
-		for _, count := range tally.Busiest(shownWorkspaces) {
+		for _, count := range counter.Busiest(maxShownWorkspaces) {
 			for outcome, name := range outcomes {
 				o.ObserveInt64(requests, int64(count.Ended(outcome)), metric.WithAttributes(
 					attribute.String("workspace", count.Workspace), attribute.String("outcome", name)))
--- a/internal/gateway/quota/homes.go
+++ b/internal/gateway/quota/homes.go
@@ -268,9 +268,9 @@
 		link.repliedAt = l.options.Clock()
 	}
 	if failed {
-		l.options.Metrics.QuotaAsked(resultFailed)
+		l.options.Metrics.QuotaRequested(resultFailed)
 	} else {
-		l.options.Metrics.QuotaAsked(resultAnswered)
+		l.options.Metrics.QuotaRequested(resultAnswered)
 	}
 	if failed == link.failed {
 		return
--- a/internal/gateway/quota/quota.go
+++ b/internal/gateway/quota/quota.go
@@ -201,7 +201,7 @@
 	granted, err := l.ask(ctx, newWorkspaceAsk(w, version))
 	switch {
 	case err != nil:
-		l.options.Metrics.QuotaAsked(resultFailed)
+		l.options.Metrics.QuotaRequested(resultFailed)
 		return nil, notReadyError(err)
 	case !granted:
 		return nil, l.exceededError(w, version)
--- a/internal/gateway/upstream/answer.go
+++ b/internal/gateway/upstream/answer.go
@@ -9,173 +9,175 @@
 	"github.com/sprucecrank/sprucecrank/verdict"
 )
 
-// Answer is a target's answer: its head and, unless it is long, its whole body. The
-// rest of a long one still lies on the connection and is read piece by piece.
+// Answer is a target's answer. It is either buffered, which means that its whole body
+// has been read, or, if it is long, streamed: the rest of its body is still unread on
+// the connection, and Next reads it.
 //
-// Close must be called once an answer is done with; until then it holds its bytes,
-// and an open one its connection.
+// Close must be called when an answer is no longer needed. Until then it holds its
+// bytes, and a streamed one its connection.
 type Answer struct {
-	status  int
-	header  http.Header
-	notRun  bool
-	signals signal.Signals
-	length  int64 // of the body, -1 if the head did not give it
-	body    []byte
-	room    *Room
-	taken   int   // bytes of room
-	rest    *rest // nil if the body is whole
+	status   int
+	header   http.Header
+	notRun   bool
+	signals  signal.Signals
+	length   int64 // of the body; -1 if unknown
+	body     []byte
+	budget   *MemoryBudget
+	reserved int         // bytes reserved in budget
+	stream   *bodyStream // nil if the body is buffered
 }
 
-// Status is the HTTP status.
+// Status returns the HTTP status.
 func (a *Answer) Status() int { return a.status }
 
-// Header holds the headers as the target sent them; the caller may change them.
+// Header returns the headers as the target sent them; the caller may change them.
 func (a *Answer) Header() http.Header { return a.header }
 
-// NotRun says that the answer bears the target's promise that it did not run the
+// NotRun reports whether the target declared in the answer that it did not run the
 // request.
 func (a *Answer) NotRun() bool { return a.notRun }
 
-// Signals are what the target says of itself in the answer.
+// Signals returns the back-off and leaving signals in the answer's head.
 func (a *Answer) Signals() signal.Signals { return a.signals }
 
-// Whole says whether the body was read whole.
-func (a *Answer) Whole() bool { return a.rest == nil }
+// Buffered reports whether the whole body was read.
+func (a *Answer) Buffered() bool { return a.stream == nil }
 
-// Body is the body of a whole answer, decoded from its framing.
+// Body returns the body of a buffered answer, without its transfer encoding.
 func (a *Answer) Body() []byte { return a.body }
 
-// Length is how long the body is, in bytes; -1 if that is not known.
+// Length returns the length of the body in bytes, or -1 if it is unknown.
 func (a *Answer) Length() int64 { return a.length }
 
-// OnEnd has end called once: with nil when the last byte was read, or with why no more will
-// be read. For a whole answer it is called at once.
+// OnEnd registers end, which is called once: with nil when the last byte was read, or with
+// the reason for which reading stopped. For a buffered answer it is called at once.
 func (a *Answer) OnEnd(end func(*verdict.Error)) {
-	if a.rest == nil {
+	if a.stream == nil {
 		end(nil)
 		return
 	}
-	a.rest.onEnd = end
+	a.stream.onEnd = end
 }
 
-// BytesRead is how much of the body was read.
+// BytesRead returns how many bytes of the body were read.
 func (a *Answer) BytesRead() int {
-	if a.rest == nil {
+	if a.stream == nil {
 		return len(a.body)
 	}
-	return a.rest.read
+	return a.stream.bytesRead
 }
 
-// HeldBack is for how long the target had to wait because nobody took the next piece.
-func (a *Answer) HeldBack() time.Duration {
-	if a.rest == nil {
+// BackpressureTime returns how long reading from the target paused between calls of Next.
+func (a *Answer) BackpressureTime() time.Duration {
+	if a.stream == nil {
 		return 0
 	}
-	return a.rest.heldBack
+	return a.stream.backpressure
 }
 
-// Next reads the next piece of an open answer; it may be used until the next call.
-// The error is io.EOF behind the last one, and a *verdict.Error if the answer ends
-// early: what was passed on of it must not look whole then.
-func (a *Answer) Next() ([]byte, error) { return a.rest.next(a) }
+// Next reads the next part of a streamed answer, which is valid until the next call.
+// The error is io.EOF after the last part, and a *verdict.Error if the answer ends
+// early: what was forwarded of it must then not look complete to the client.
+func (a *Answer) Next() ([]byte, error) { return a.stream.next(a) }
 
-// Close gives back what the answer holds. An open one that was not read to its end
-// closes its connection, so that the target stops.
+// Close releases the answer's bytes. If a streamed answer was not read to its end,
+// Close also closes its connection, so that the target stops sending.
 func (a *Answer) Close() {
-	if a.rest != nil {
-		a.rest.abandon()
+	if a.stream != nil {
+		a.stream.abandon()
 	}
-	a.room.giveBack(a.taken)
-	a.taken, a.body = 0, nil
+	a.budget.release(a.reserved)
+	a.reserved, a.body = 0, nil
 }
 
-// rest is the part of an answer that still lies on its connection.
-type rest struct {
-	exchange *exchange
-	body     io.Reader
-	framed   bool // another exchange may follow on the connection
-	piece    []byte
-	prefix   []byte // read, but not yet given out
-	ended    bool
-	onEnd    func(*verdict.Error)
-	read     int
-	given    time.Time // when the latest piece was given out
-	heldBack time.Duration
+// bodyStream is the part of an answer's body that is still unread on its connection.
+type bodyStream struct {
+	exchange      *exchange
+	body          io.Reader
+	selfDelimited bool // the connection can be reused after the body
+	buffer        []byte
+	prefix        []byte // read, but not yet returned by Next
+	ended         bool
+	onEnd         func(*verdict.Error)
+	bytesRead     int
+	returnedAt    time.Time // when Next last returned
+	backpressure  time.Duration
 }
 
-func (r *rest) next(a *Answer) ([]byte, error) {
-	r.takeBack()
-	defer func() { r.given = r.exchange.conn.pool.options.Clock() }()
-	if len(r.prefix) > 0 {
-		piece := r.prefix
-		r.prefix = nil
+func (s *bodyStream) next(a *Answer) ([]byte, error) {
+	s.endBackpressure()
+	defer func() { s.returnedAt = s.exchange.conn.pool.options.Clock() }()
+	if len(s.prefix) > 0 {
+		piece := s.prefix
+		s.prefix = nil
 		return piece, nil
 	}
-	if r.ended {
+	if s.ended {
 		return nil, io.EOF
 	}
-	if r.piece == nil {
-		r.piece = a.takePiece()
+	if s.buffer == nil {
+		s.buffer = a.newStreamBuffer()
 	}
-	return r.fill()
+	return s.fill()
 }
 
-// takeBack ends the time for which nobody took the next piece.
-func (r *rest) takeBack() {
-	if !r.given.IsZero() {
-		r.heldBack += r.exchange.conn.pool.options.Clock().Sub(r.given)
-		r.given = time.Time{}
+// endBackpressure adds the time since Next last returned to the backpressure.
+func (s *bodyStream) endBackpressure() {
+	if !s.returnedAt.IsZero() {
+		s.backpressure += s.exchange.conn.pool.options.Clock().Sub(s.returnedAt)
+		s.returnedAt = time.Time{}
 	}
 }
 
-// takePiece makes the buffer by which the rest is read: a small one if there is no
-// room, since waiting for room could wait for answers behind this one.
-func (a *Answer) takePiece() []byte {
-	n := pieceBytes
-	if !a.room.take(n) {
-		n = minPieceBytes
-		a.room.takeAnyway(n)
+// newStreamBuffer returns the buffer for reading the rest of the body: a small one if
+// the budget is exhausted, since waiting for it could mean waiting for answers that are
+// queued behind this one.
+func (a *Answer) newStreamBuffer() []byte {
+	size := streamBufferBytes
+	if !a.budget.reserve(size) {
+		size = minStreamBufferBytes
+		a.budget.forceReserve(size)
 	}
-	a.taken += n
-	return make([]byte, n)
+	a.reserved += size
+	return make([]byte, size)
 }
 
-// fill reads a piece as full as it gets.
-func (r *rest) fill() ([]byte, error) {
-	n, err := readFull(r.body, r.piece)
-	r.read += n
+// fill fills the buffer as far as the body allows.
+func (s *bodyStream) fill() ([]byte, error) {
+	n, err := readFull(s.body, s.buffer)
+	s.bytesRead += n
 	if err != nil && err != io.EOF {
-		failure := r.exchange.fail(err)
-		r.end(failure)
+		failure := s.exchange.fail(err)
+		s.end(failure)
 		return nil, failure
 	}
 	if err == io.EOF {
-		r.exchange.finish(r.framed)
-		r.end(nil)
+		s.exchange.finish(s.selfDelimited)
+		s.end(nil)
 	}
 	if n == 0 {
 		return nil, io.EOF
 	}
-	return r.piece[:n], nil
+	return s.buffer[:n], nil
 }
 
-// abandon ends an answer of which no more is wanted.
-func (r *rest) abandon() {
-	if !r.ended {
-		r.takeBack()
-		r.end(r.exchange.abandon())
+// abandon stops reading an answer before its end.
+func (s *bodyStream) abandon() {
+	if !s.ended {
+		s.endBackpressure()
+		s.end(s.exchange.abandon())
 	}
 }
 
-func (r *rest) end(failure *verdict.Error) {
-	r.ended = true
-	if r.onEnd != nil {
-		r.onEnd(failure)
+func (s *bodyStream) end(failure *verdict.Error) {
+	s.ended = true
+	if s.onEnd != nil {
+		s.onEnd(failure)
 	}
 }
 
-// readFull reads until p is full or an error, which it returns as it is: only io.EOF
-// says that a body is whole.
+// readFull reads until p is full or an error occurs. It returns the error unchanged,
+// unlike io.ReadFull: io.EOF alone means that the body is complete.
 func readFull(from io.Reader, p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var more int
--- a/internal/gateway/upstream/answer_test.go
+++ b/internal/gateway/upstream/answer_test.go
@@ -27,22 +27,22 @@
 
 func always(int, bool) bool { return true }
 
-// longRequest allows that its answer is streamed.
+// longRequest returns a request whose answer may be streamed.
 func longRequest(id string) upstream.Request {
 	r := request(id)
-	r.Streams = always
+	r.MayStream = always
 	return r
 }
 
-// ownHead is the head of an answer with some more header lines.
-func ownHead(id string, lines ...string) string {
+// okHead returns the head of an answer with status 200 and more header lines.
+func okHead(id string, lines ...string) string {
 	return "HTTP/1.1 200 OK\r\n" + names.RequestID + ": " + id + "\r\n" + strings.Join(lines, "") + "\r\n"
 }
 
 func chunk(body string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(body), body) }
 
-// begin makes an exchange whose answer is streamed.
-func begin(g *WithT, ctx context.Context, pool *upstream.Pool, target catalog.Target, id string) (*upstream.Conn, *upstream.Answer) {
+// startStreamed starts an exchange whose answer is streamed.
+func startStreamed(g *WithT, ctx context.Context, pool *upstream.Pool, target catalog.Target, id string) (*upstream.Conn, *upstream.Answer) {
 	conn, failure := pool.Get(ctx, target)
 	g.Expect(failure).To(BeNil())
 	answer, failure := conn.Exchange(ctx, longRequest(id))
@@ -50,8 +50,8 @@
 	return conn, answer
 }
 
-// readOut reads what is left of an answer.
-func readOut(a *upstream.Answer) (string, error) {
+// readRest reads the rest of a streamed answer.
+func readRest(a *upstream.Answer) (string, error) {
 	var all bytes.Buffer
 	for {
 		piece, err := a.Next()
@@ -65,24 +65,24 @@
 	}
 }
 
-func TestALongAnswerIsGivenOutInPiecesAndItsConnectionKept(t *testing.T) {
+func TestLongAnswerIsStreamedAndItsConnectionReused(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(id string) string
 		length int64
 	}{
-		"with a length": {func(id string) string { return whole(id, longBody) }, longBytes},
+		"with a length": {func(id string) string { return wholeAnswer(id, longBody) }, longBytes},
 		"in chunks": {func(id string) string {
-			return ownHead(id, "Transfer-Encoding: chunked\r\n") + chunk(longBody[:100_000]) + chunk(longBody[100_000:]) + "0\r\n\r\n"
+			return okHead(id, "Transfer-Encoding: chunked\r\n") + chunk(longBody[:100_000]) + chunk(longBody[100_000:]) + "0\r\n\r\n"
 		}, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := serve(t, func(conn net.Conn, r *http.Request, _ int32) { write(conn, c.answer(r.Header.Get(names.RequestID))) })
-			room := upstream.NewRoom(1 << 20)
-			pool := upstream.New(upstream.Options{Names: names, Room: room})
+			budget := upstream.NewMemoryBudget(1 << 20)
+			pool := upstream.New(upstream.Options{Names: names, Budget: budget})
 			for _, id := range []string{"one", "two"} {
-				conn, answer := begin(g, t.Context(), pool, s.target, id)
-				g.Expect(answer.Whole()).To(BeFalse())
+				conn, answer := startStreamed(g, t.Context(), pool, s.target, id)
+				g.Expect(answer.Buffered()).To(BeFalse())
 				g.Expect(answer.Length()).To(Equal(c.length))
 				ends := 0
 				answer.OnEnd(func(failure *verdict.Error) {
@@ -90,28 +90,28 @@
 					g.Expect(failure).To(BeNil())
 					pool.Put(conn)
 				})
-				got, err := readOut(answer)
+				got, err := readRest(answer)
 				g.Expect(err).NotTo(HaveOccurred())
-				g.Expect(got == longBody).To(BeTrue(), "every byte, once and in order")
+				g.Expect(got == longBody).To(BeTrue(), "every byte once and in order")
 				g.Expect(answer.BytesRead()).To(Equal(longBytes))
 				answer.Close()
 				g.Expect(ends).To(Equal(1))
-				g.Expect(room.Held()).To(BeZero())
+				g.Expect(budget.Held()).To(BeZero())
 			}
 			g.Expect(s.accepted.Load()).To(Equal(int32(1)))
-			g.Expect(room.Peak()).To(BeNumerically("<", 64<<10))
+			g.Expect(budget.Peak()).To(BeNumerically("<", 64<<10))
 		})
 	}
 }
 
-func TestAnAnswerIsReadWholeIfItIsShortOrMayNotBeStreamed(t *testing.T) {
+func TestAnswerIsBufferedIfItIsShortOrMayNotBeStreamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		body    string
 		streams func(int, bool) bool
 	}{
-		"short":          {"short", always},
-		"not allowed":    {longBody, func(int, bool) bool { return false }},
-		"nobody asks to": {longBody, nil},
+		"short":                         {"short", always},
+		"long, MayStream returns false": {longBody, func(int, bool) bool { return false }},
+		"long, MayStream is nil":        {longBody, nil},
 	} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, " chunked ", chunked), func(t *testing.T) {
@@ -119,114 +119,114 @@
 				s := serve(t, func(conn net.Conn, r *http.Request, _ int32) {
 					id := r.Header.Get(names.RequestID)
 					if chunked {
-						write(conn, ownHead(id, "Transfer-Encoding: chunked\r\n")+chunk(c.body)+"0\r\n\r\n")
+						write(conn, okHead(id, "Transfer-Encoding: chunked\r\n")+chunk(c.body)+"0\r\n\r\n")
 						return
 					}
-					write(conn, whole(id, c.body))
+					write(conn, wholeAnswer(id, c.body))
 				})
-				room := upstream.NewRoom(2 << 20)
+				budget := upstream.NewMemoryBudget(2 << 20)
 				r := request("one")
-				r.Streams = c.streams
-				answer, failure := exchange(t, upstream.New(upstream.Options{Names: names, Room: room}), s, r)
+				r.MayStream = c.streams
+				answer, failure := exchange(t, upstream.New(upstream.Options{Names: names, Budget: budget}), s, r)
 				g.Expect(failure).To(BeNil())
-				g.Expect(answer.Whole()).To(BeTrue())
+				g.Expect(answer.Buffered()).To(BeTrue())
 				g.Expect(string(answer.Body()) == c.body).To(BeTrue())
 				g.Expect(answer.Length()).To(Equal(int64(len(c.body))))
-				g.Expect(room.Held()).To(BeNumerically(">=", len(c.body)))
+				g.Expect(budget.Held()).To(BeNumerically(">=", len(c.body)))
 				answer.Close()
-				g.Expect(room.Held()).To(BeZero())
+				g.Expect(budget.Held()).To(BeZero())
 			})
 		}
 	}
 }
 
-func TestWithoutRoomAShortAnswerIsPassedOnInSmallPieces(t *testing.T) {
-	const body = "short, but there is no room"
+func TestShortAnswerIsStreamedIfTheBudgetIsExhausted(t *testing.T) {
+	const body = "short, but the budget is exhausted"
 	for name, c := range map[string]struct {
 		status  string
 		streams func(int, bool) bool
 		whole   bool
 	}{
-		"one that may be streamed":     {"200 OK", always, false},
-		"one that may not be streamed": {"500 Failed", func(status int, _ bool) bool { return status < 500 }, true},
+		"may be streamed":     {"200 OK", always, false},
+		"may not be streamed": {"500 Failed", func(status int, _ bool) bool { return status < 500 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := serve(t, func(conn net.Conn, r *http.Request, _ int32) {
-				write(conn, strings.Replace(whole(r.Header.Get(names.RequestID), body), "200 OK", c.status, 1))
+				write(conn, strings.Replace(wholeAnswer(r.Header.Get(names.RequestID), body), "200 OK", c.status, 1))
 			})
-			room := upstream.NewRoom(0)
-			pool := upstream.New(upstream.Options{Names: names, Room: room})
-			for _, hasRoom := range []bool{false, true} {
-				if hasRoom {
-					room.SetLimit(1 << 10)
+			budget := upstream.NewMemoryBudget(0)
+			pool := upstream.New(upstream.Options{Names: names, Budget: budget})
+			for _, budgetLeft := range []bool{false, true} {
+				if budgetLeft {
+					budget.SetLimit(1 << 10)
 				}
 				conn, failure := pool.Get(t.Context(), s.target)
 				g.Expect(failure).To(BeNil())
 				r := request("one")
-				r.Streams = c.streams
+				r.MayStream = c.streams
 				answer, failure := conn.Exchange(t.Context(), r)
 				g.Expect(failure).To(BeNil())
-				g.Expect(answer.Whole()).To(Equal(c.whole || hasRoom))
+				g.Expect(answer.Buffered()).To(Equal(c.whole || budgetLeft))
 				got := string(answer.Body())
-				if !answer.Whole() {
+				if !answer.Buffered() {
 					var err error
-					got, err = readOut(answer)
+					got, err = readRest(answer)
 					g.Expect(err).NotTo(HaveOccurred())
 				}
 				g.Expect(got).To(Equal(body))
 				answer.Close()
 				pool.Put(conn)
-				g.Expect(room.Held()).To(BeZero())
+				g.Expect(budget.Held()).To(BeZero())
 			}
 			g.Expect(s.accepted.Load()).To(Equal(int32(1)))
 		})
 	}
 }
 
-func TestALongAnswerThatEndsEarlyIsNeverWhole(t *testing.T) {
+func TestTruncatedLongAnswerFails(t *testing.T) {
 	half := longBody[:longBytes/2]
 	for name, c := range map[string]struct {
 		answer string
 		reset  bool
 	}{
-		"half of its length":             {ownHead("one", fmt.Sprintf("Content-Length: %d\r\n", longBytes)) + half, false},
-		"half of its chunks":             {ownHead("one", "Transfer-Encoding: chunked\r\n") + chunk(half), false},
-		"all chunks but the last":        {ownHead("one", "Transfer-Encoding: chunked\r\n") + chunk(longBody), false},
-		"bytes that are no chunk":        {ownHead("one", "Transfer-Encoding: chunked\r\n") + chunk(half) + "no chunk\r\n", false},
-		"without a length, but by reset": {ownHead("one", "Connection: close\r\n") + half, true},
+		"half of Content-Length":  {okHead("one", fmt.Sprintf("Content-Length: %d\r\n", longBytes)) + half, false},
+		"half of the chunks":      {okHead("one", "Transfer-Encoding: chunked\r\n") + chunk(half), false},
+		"no last chunk":           {okHead("one", "Transfer-Encoding: chunked\r\n") + chunk(longBody), false},
+		"malformed chunk":         {okHead("one", "Transfer-Encoding: chunked\r\n") + chunk(half) + "no chunk\r\n", false},
+		"no length, then a reset": {okHead("one", "Connection: close\r\n") + half, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			taken := make(chan struct{})
+			firstRead := make(chan struct{})
 			s := serve(t, func(conn net.Conn, _ *http.Request, _ int32) {
 				write(conn, c.answer)
 				if c.reset {
-					<-taken // a reset discards what was not read
+					<-firstRead // a reset discards unread bytes
 					_ = conn.(*net.TCPConn).SetLinger(0)
 				}
 				_ = conn.Close()
 			})
-			room := upstream.NewRoom(1 << 20)
-			conn, answer := begin(g, t.Context(), upstream.New(upstream.Options{Names: names, Room: room}), s.target, "one")
+			budget := upstream.NewMemoryBudget(1 << 20)
+			conn, answer := startStreamed(g, t.Context(), upstream.New(upstream.Options{Names: names, Budget: budget}), s.target, "one")
 			var ended *verdict.Error
 			answer.OnEnd(func(failure *verdict.Error) { ended = failure })
 			_, err := answer.Next()
 			g.Expect(err).NotTo(HaveOccurred())
-			close(taken)
-			_, err = readOut(answer)
+			close(firstRead)
+			_, err = readRest(answer)
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(ended).To(Equal(err))
 			g.Expect(ended.Reason()).To(Equal(verdict.ReasonTargetFailed))
 			g.Expect(ended.Verdict()).To(Equal(verdict.MayHaveRun))
 			answer.Close()
-			g.Expect(room.Held()).To(BeZero())
+			g.Expect(budget.Held()).To(BeZero())
 			g.Expect(conn.Target()).To(Equal(s.target))
 		})
 	}
 }
 
-// countingConn counts what the other side has taken; it buffers nothing.
+// countingConn counts the bytes that the other side has read; it buffers nothing.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -246,37 +246,37 @@
 	return total, nil
 }
 
-// pipeTarget is a target without buffers between it and the gateway, which answers one
-// request on each connection with a long answer, and says when it could write no more.
+// pipeTarget is a target on unbuffered connections that answers one request on each
+// with a long answer and counts the answers that it could not write to the end.
 type pipeTarget struct {
-	conns []*countingConn
-	gone  atomic.Int32
+	conns        []*countingConn
+	failedWrites atomic.Int32
 }
 
 func (p *pipeTarget) dial(context.Context, string, string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
-	conn := &countingConn{Conn: theirs}
+	gatewayConn, targetConn := net.Pipe()
+	conn := &countingConn{Conn: targetConn}
 	p.conns = append(p.conns, conn)
 	go func() {
 		defer func() { _ = conn.Close() }()
-		scrap := make([]byte, 4<<10)
-		if _, err := conn.Read(scrap); err != nil {
+		requestBuffer := make([]byte, 4<<10)
+		if _, err := conn.Read(requestBuffer); err != nil {
 			return
 		}
-		if _, err := io.WriteString(conn, whole("one", longBody)); err != nil {
-			p.gone.Add(1)
+		if _, err := io.WriteString(conn, wholeAnswer("one", longBody)); err != nil {
+			p.failedWrites.Add(1)
 		}
 	}()
-	return ours, nil
+	return gatewayConn, nil
 }
 
-func TestATargetIsHeldBackWhileNobodyTakesItsAnswer(t *testing.T) {
+func TestTargetBlocksWhileItsStreamedAnswerIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		target := &pipeTarget{}
-		room := upstream.NewRoom(1 << 20)
-		pool := upstream.New(upstream.Options{Names: names, Room: room, Dial: target.dial})
-		conn, answer := begin(g, t.Context(), pool, catalog.Target{ID: "t"}, "one")
+		budget := upstream.NewMemoryBudget(1 << 20)
+		pool := upstream.New(upstream.Options{Names: names, Budget: budget, Dial: target.dial})
+		conn, answer := startStreamed(g, t.Context(), pool, catalog.Target{ID: "t"}, "one")
 		answer.OnEnd(func(*verdict.Error) { pool.Put(conn) })
 		_, err := answer.Next()
 		g.Expect(err).NotTo(HaveOccurred())
@@ -285,79 +285,79 @@
 		g.Expect(first).To(BeNumerically("<", 32<<10))
 		time.Sleep(7 * time.Second)
 		synctest.Wait()
-		g.Expect(target.conns[0].written.Load()).To(Equal(first), "nobody has taken more")
-		g.Expect(room.Held()).To(BeNumerically("<", 32<<10))
-		got, err := readOut(answer)
+		g.Expect(target.conns[0].written.Load()).To(Equal(first), "nothing more was read")
+		g.Expect(budget.Held()).To(BeNumerically("<", 32<<10))
+		got, err := readRest(answer)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(got).NotTo(BeEmpty())
-		g.Expect(answer.HeldBack()).To(Equal(7 * time.Second))
+		g.Expect(answer.BackpressureTime()).To(Equal(7 * time.Second))
 		answer.Close()
 		pool.Close()
 	})
 }
 
-func TestAnAnswerThatNobodyWantsAnyMoreEndsItsConnectionAtOnce(t *testing.T) {
-	for name, leave := range map[string]func(*upstream.Answer, context.CancelFunc){
-		"it is closed": func(a *upstream.Answer, _ context.CancelFunc) { a.Close() },
-		// The one who should read it may be blocked elsewhere.
-		"its context ends": func(_ *upstream.Answer, cancel context.CancelFunc) { cancel() },
+func TestAbandonedAnswerClosesItsConnectionAtOnce(t *testing.T) {
+	for name, abandon := range map[string]func(*upstream.Answer, context.CancelFunc){
+		"answer closed": func(a *upstream.Answer, _ context.CancelFunc) { a.Close() },
+		// The reader of the answer may be blocked elsewhere.
+		"context cancelled": func(_ *upstream.Answer, cancel context.CancelFunc) { cancel() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				target := &pipeTarget{}
-				room := upstream.NewRoom(1 << 20)
-				pool := upstream.New(upstream.Options{Names: names, Room: room, Dial: target.dial})
+				budget := upstream.NewMemoryBudget(1 << 20)
+				pool := upstream.New(upstream.Options{Names: names, Budget: budget, Dial: target.dial})
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				_, answer := begin(g, ctx, pool, catalog.Target{ID: "t"}, "one")
+				_, answer := startStreamed(g, ctx, pool, catalog.Target{ID: "t"}, "one")
 				var ends []*verdict.Error
 				answer.OnEnd(func(failure *verdict.Error) { ends = append(ends, failure) })
 				_, err := answer.Next()
 				g.Expect(err).NotTo(HaveOccurred())
-				time.Sleep(3 * time.Second) // the client takes nothing
+				time.Sleep(3 * time.Second) // the client reads nothing
 				began := time.Now()
-				leave(answer, cancel)
+				abandon(answer, cancel)
 				synctest.Wait()
-				g.Expect(target.gone.Load()).To(Equal(int32(1)))
+				g.Expect(target.failedWrites.Load()).To(Equal(int32(1)))
 				g.Expect(time.Since(began)).To(BeZero())
 				answer.Close()
 				answer.Close()
-				g.Expect(answer.HeldBack()).To(Equal(3*time.Second), "nor is it for this time")
-				g.Expect(room.Held()).To(BeZero())
+				g.Expect(answer.BackpressureTime()).To(Equal(3*time.Second), "the target was blocked for this time")
+				g.Expect(budget.Held()).To(BeZero())
 				g.Expect(ends).To(HaveLen(1))
-				g.Expect(ends[0].Reason()).To(Equal(verdict.ReasonClientGone), "the target is not to blame")
+				g.Expect(ends[0].Reason()).To(Equal(verdict.ReasonClientGone), "not counted as a failure of the target")
 			})
 		})
 	}
 }
 
-func TestTheBytesOfManyLongAnswersAreBounded(t *testing.T) {
+func TestBytesHeldOfManyLongAnswersAreBounded(t *testing.T) {
 	const (
-		answers = 200
-		limit   = 1 << 20
-		least   = 2 << 10 // of each answer that finds no room
+		answers  = 200
+		limit    = 1 << 20
+		minBytes = 2 << 10 // of each answer beyond the budget
 	)
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		target := &pipeTarget{}
-		room := upstream.NewRoom(limit)
-		pool := upstream.New(upstream.Options{Names: names, Room: room, Dial: target.dial})
+		budget := upstream.NewMemoryBudget(limit)
+		pool := upstream.New(upstream.Options{Names: names, Budget: budget, Dial: target.dial})
 		var open []*upstream.Answer
 		for range answers {
-			_, answer := begin(g, t.Context(), pool, catalog.Target{ID: "t"}, "one")
+			_, answer := startStreamed(g, t.Context(), pool, catalog.Target{ID: "t"}, "one")
 			_, err := answer.Next()
 			g.Expect(err).NotTo(HaveOccurred())
 			open = append(open, answer)
 		}
-		g.Expect(room.Held()).To(BeNumerically(">", limit-(16<<10)), "the room is used")
+		g.Expect(budget.Held()).To(BeNumerically(">", limit-(16<<10)), "the budget is used")
 		for _, answer := range open {
-			_, err := readOut(answer)
+			_, err := readRest(answer)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(answer.BytesRead()).To(Equal(longBytes))
 			answer.Close()
 		}
-		g.Expect(room.Peak()).To(BeNumerically("<=", limit+answers*least))
-		g.Expect(room.Held()).To(BeZero())
+		g.Expect(budget.Peak()).To(BeNumerically("<=", limit+answers*minBytes))
+		g.Expect(budget.Held()).To(BeZero())
 	})
 }
--- a/internal/gateway/upstream/body.go
+++ b/internal/gateway/upstream/body.go
@@ -7,75 +7,75 @@
 )
 
 const (
-	// wholeBytes is the longest answer that is read whole, so that another target can
-	// be asked if it breaks off (docs/design/long-answers.md).
-	wholeBytes = 32 << 10
-	// pieceBytes is how much of a long answer is passed on at once. 13 ms of a
-	// link of 10 Mbit/s, and few calls of the system for an answer.
-	pieceBytes = 16 << 10
-	// minPieceBytes is the same where there is no room. One packet or two.
-	minPieceBytes = 2 << 10
-	// stepBytes is by how much the buffer of an answer of unknown length grows.
-	stepBytes = 8 << 10
+	// defaultMaxBufferedBytes is the longest answer that is buffered, so that the request
+	// can go to another target if the answer breaks off (docs/design/long-answers.md).
+	defaultMaxBufferedBytes = 32 << 10
+	// streamBufferBytes is how much of a long answer is forwarded at once: 13 ms on a
+	// 10 Mbit/s link, with few system calls per answer.
+	streamBufferBytes = 16 << 10
+	// minStreamBufferBytes is used when the budget is exhausted: one or two packets.
+	minStreamBufferBytes = 2 << 10
+	// growBytes is how much the buffer of an answer of unknown length grows at a time.
+	growBytes = 8 << 10
 )
 
-// begin reads the body of an answer: whole, or the beginning of one that is streamed.
-func (c *Conn) begin(r Request, response *http.Response) (*Answer, error) {
+// readBody reads the body of an answer, or only its beginning if the answer is streamed.
+func (c *Conn) readBody(r Request, response *http.Response) (*Answer, error) {
 	a := &Answer{
-		status: response.StatusCode, header: response.Header, room: c.pool.options.Room, length: response.ContentLength,
+		status: response.StatusCode, header: response.Header, budget: c.pool.options.Budget, length: response.ContentLength,
 		notRun: response.Header.Get(c.pool.options.Names.NotRun) != "",
 	}
 	if response.Body == http.NoBody {
 		return a, nil
 	}
-	streams := r.Streams != nil && r.Streams(a.status, a.notRun)
-	read := a.readUnknown
+	mayStream := r.MayStream != nil && r.MayStream(a.status, a.notRun)
+	read := a.readWithoutLength
 	if a.length >= 0 {
-		read = a.readKnown
+		read = a.readWithLength
 	}
-	whole, err := read(c.pool.options, response.Body, streams)
+	complete, err := read(c.pool.options, response.Body, mayStream)
 	if err != nil {
 		a.Close()
 		return nil, err
 	}
-	if !whole {
-		a.rest = &rest{body: response.Body, prefix: a.body, read: len(a.body)}
+	if !complete {
+		a.stream = &bodyStream{body: response.Body, prefix: a.body, bytesRead: len(a.body)}
 		a.body = nil
 	}
 	return a, nil
 }
 
-// readKnown reads a body whose length is known, unless it is streamed.
-func (a *Answer) readKnown(o Options, body io.Reader, streams bool) (whole bool, err error) {
-	short := a.length <= int64(o.WholeBytes)
-	if streams && !short || a.length > o.AnswerBytes {
-		return false, tooLongUnless(streams)
+// readWithLength reads a body of known length, unless it is to be streamed.
+func (a *Answer) readWithLength(o Options, body io.Reader, mayStream bool) (complete bool, err error) {
+	fits := a.length <= int64(o.MaxBufferedBytes)
+	if mayStream && !fits || a.length > o.MaxAnswerBytes {
+		return false, limitError(mayStream)
 	}
 	n := int(a.length)
-	if !a.take(n, short && !streams) {
-		return false, tooLongUnless(streams)
+	if !a.reserve(n, fits && !mayStream) {
+		return false, limitError(mayStream)
 	}
 	a.body = make([]byte, n)
 	_, err = io.ReadFull(body, a.body)
 	return true, err
 }
 
-// readUnknown reads a body whose length is not known, until it is long enough to be
+// readWithoutLength reads a body of unknown length, until it is long enough to be
 // streamed.
-func (a *Answer) readUnknown(o Options, body io.Reader, streams bool) (whole bool, err error) {
+func (a *Answer) readWithoutLength(o Options, body io.Reader, mayStream bool) (complete bool, err error) {
 	for {
-		held := len(a.body)
-		short := held+stepBytes <= o.WholeBytes
-		if streams && !short || int64(held) > o.AnswerBytes {
-			return false, tooLongUnless(streams)
+		length := len(a.body)
+		fits := length+growBytes <= o.MaxBufferedBytes
+		if mayStream && !fits || int64(length) > o.MaxAnswerBytes {
+			return false, limitError(mayStream)
 		}
-		if !a.take(stepBytes, short && !streams) {
-			return false, tooLongUnless(streams)
+		if !a.reserve(growBytes, fits && !mayStream) {
+			return false, limitError(mayStream)
 		}
-		a.body = slices.Grow(a.body, stepBytes)
-		a.take(cap(a.body)-a.taken, true) // it may grow by more
-		n, err := readFull(body, a.body[held:held+stepBytes])
-		a.body = a.body[:held+n]
+		a.body = slices.Grow(a.body, growBytes)
+		a.reserve(cap(a.body)-a.reserved, true) // Grow may allocate more
+		n, err := readFull(body, a.body[length:length+growBytes])
+		a.body = a.body[:length+n]
 		if err == io.EOF {
 			a.length = int64(len(a.body))
 			return true, nil
@@ -86,22 +86,23 @@
 	}
 }
 
-// take takes room for n bytes, if there is any; anyway says to go beyond the limit, as for
-// a short answer that can only be given out whole.
-func (a *Answer) take(n int, anyway bool) bool {
-	if !a.room.take(n) {
-		if !anyway {
+// reserve reserves n bytes of the budget and reports whether it could. With force it exceeds
+// the limit, as for a short answer that must be buffered.
+func (a *Answer) reserve(n int, force bool) bool {
+	if !a.budget.reserve(n) {
+		if !force {
 			return false
 		}
-		a.room.takeAnyway(n)
+		a.budget.forceReserve(n)
 	}
-	a.taken += n
+	a.reserved += n
 	return true
 }
 
-// tooLongUnless is the error of an answer that is not read whole: none if it is streamed.
-func tooLongUnless(streams bool) error {
-	if streams {
+// limitError returns the error for an answer that exceeds a limit of buffering: nil if it may be
+// streamed instead.
+func limitError(mayStream bool) error {
+	if mayStream {
 		return nil
 	}
 	return errTooLong
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -15,125 +15,124 @@
 )
 
 const (
-	// writeAtOnce is the largest request, in bytes, that is written before its
-	// answer is looked for; a larger one is written beside it, since a target may
+	// maxSyncWriteBytes is the largest request, in bytes, that is written before its
+	// answer is read. A larger one is written concurrently, since a target may
 	// answer before it has read a long body. It fits any socket's buffer.
-	writeAtOnce = 2 << 10
-	// maxSurplus bounds the answers of other requests that are dropped.
-	maxSurplus = 4
-	// headBytes is the room that is made for the head of a request.
-	headBytes = 512
+	maxSyncWriteBytes = 2 << 10
+	// maxSurplusAnswers bounds how many answers of other requests are dropped in one exchange.
+	maxSurplusAnswers = 4
+	// requestHeadBytes is the space preallocated for the head of a request.
+	requestHeadBytes = 512
 )
 
-// Request is one request as it goes to a target.
+// Request is one request as it is sent to a target.
 type Request struct {
 	Method string
-	// URI is the target of the request line, as the client sent it.
+	// URI is the request target in the request line, as the client sent it.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
 	// ID is the request's id, which the answer must repeat.
 	ID string
-	// Streams says whether a long answer with a status, and with or without the
-	// promise that the request did not run, may be given out before it is read whole;
-	// nil for never.
-	Streams func(status int, notRun bool) bool
+	// MayStream reports whether a long answer with this status may be streamed; notRun
+	// says whether the target declared that it did not run the request. Nil means never.
+	MayStream func(status int, notRun bool) bool
 }
 
 var (
-	errSurplus = errors.New("too many answers of other requests lay on the connection")
-	errUnnamed = errors.New("the answer does not name its request")
-	errTooLong = errors.New("the answer is too long to be held whole")
+	errTooManySurplus = errors.New("the connection held too many answers to other requests")
+	errNoRequestID    = errors.New("the answer has no request id")
+	errTooLong        = errors.New("the answer is too long to be buffered")
 )
 
-// exchange is one send and the reading of its answer.
+// exchange is one request that is sent and the reading of its answer.
 type exchange struct {
 	conn          *Conn
 	ctx           context.Context
-	uninterrupted func() bool
-	sent          <-chan written
+	stopInterrupt func() bool
+	sent          <-chan writeResult
 }
 
-// Exchange sends a request and reads its answer: whole, or the beginning of one that
-// is long and may be streamed. The connection can be given back once the answer has
-// ended, or at once if there is none, whatever came of it. The end of ctx also ends
-// the reading of the rest.
+// Exchange sends a request and reads its answer, or only the beginning of one that is
+// long and may be streamed. The connection can be returned to the pool once the answer
+// has ended, or at once if Exchange fails. When ctx ends, so does the reading of a
+// streamed answer.
 func (c *Conn) Exchange(ctx context.Context, r Request) (*Answer, *verdict.Error) {
 	if failure := c.pool.gate(c.target.Life()); failure != nil {
 		return nil, failure
 	}
 	c.exchanges++
 	c.reusable = false
-	e := &exchange{conn: c, ctx: ctx, uninterrupted: context.AfterFunc(ctx, c.interrupt)}
+	e := &exchange{conn: c, ctx: ctx, stopInterrupt: context.AfterFunc(ctx, c.interrupt)}
 	e.sent = c.send(r)
-	answer, framed, err := c.receive(r)
+	answer, selfDelimited, err := c.receive(r)
 	if err != nil {
 		return nil, e.fail(err)
 	}
-	if answer.rest == nil {
-		e.finish(framed)
+	if answer.stream == nil {
+		e.finish(selfDelimited)
 		return answer, nil
 	}
-	answer.rest.exchange, answer.rest.framed = e, framed
+	answer.stream.exchange, answer.stream.selfDelimited = e, selfDelimited
 	return answer, nil
 }
 
-// finish ends an exchange whose answer was read whole; framed says whether the
-// answer's framing allows another one on the connection.
-func (e *exchange) finish(framed bool) {
+// finish ends an exchange whose answer was read to its end; selfDelimited says whether
+// the answer's framing allows another exchange on the connection.
+func (e *exchange) finish(selfDelimited bool) {
 	c := e.conn
-	framed = framed && c.reader.Buffered() == 0
+	selfDelimited = selfDelimited && c.reader.Buffered() == 0
 	select {
 	case wrote := <-e.sent:
-		c.reusable = e.uninterrupted() && framed && wrote.err == nil
+		c.reusable = e.stopInterrupt() && selfDelimited && wrote.err == nil
 	default:
-		e.uninterrupted() // the rest of the body has no reader; Put closes
+		e.stopInterrupt() // the request is not written to its end; Put closes the connection
 	}
 }
 
-// fail ends an exchange without a whole answer.
+// fail ends an exchange whose answer is missing or incomplete.
 func (e *exchange) fail(cause error) *verdict.Error {
-	e.uninterrupted()
-	e.conn.Close() // before the wait: it ends a write that nobody reads
+	e.stopInterrupt()
+	e.conn.Close() // before the receive: it unblocks a write that the target does not read
 	wrote := <-e.sent
-	return failureOf(e.ctx, cause, wrote)
+	return exchangeError(e.ctx, cause, wrote)
 }
 
-// abandon ends an exchange of whose answer no more is wanted.
+// abandon ends an exchange before the end of its answer.
 func (e *exchange) abandon() *verdict.Error {
-	e.uninterrupted()
+	e.stopInterrupt()
 	e.conn.Close()
-	return verdict.New(verdict.MayHaveRun, verdict.ReasonClientGone, "nobody wants the rest of the answer")
+	return verdict.New(verdict.MayHaveRun, verdict.ReasonClientGone, "the answer was abandoned before its end")
 }
 
-// interrupt ends reads and writes that are under way, and has the target notice at once
-// that nobody waits any more, also while no read is under way. How closing goes says
-// nothing: the connection is not used again.
+// interrupt closes the connection. This ends pending reads and writes, and the target
+// notices the cancellation at once, even when no read is pending. The error of Close is
+// ignored because the connection is not used again.
 func (c *Conn) interrupt() { _ = c.net.Close() }
 
-type written struct {
+type writeResult struct {
 	bytes int
 	err   error
 }
 
-// send writes the request and reports on the channel how far it came.
-func (c *Conn) send(r Request) <-chan written {
+// send writes the request and sends the result of the write on the channel.
+func (c *Conn) send(r Request) <-chan writeResult {
 	var b bytes.Buffer
-	b.Grow(headBytes + len(r.Body))
+	b.Grow(requestHeadBytes + len(r.Body))
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.URI, r.Host)
-	_ = r.Header.Write(&b) // a buffer takes all
+	_ = r.Header.Write(&b) // writing to a buffer does not fail
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
 	b.Write(r.Body)
-	done := make(chan written, 1)
+	done := make(chan writeResult, 1)
 	write := func() {
 		n, err := c.net.Write(b.Bytes())
-		done <- written{bytes: n, err: err}
+		done <- writeResult{bytes: n, err: err}
 	}
-	if b.Len() <= writeAtOnce {
+	if b.Len() <= maxSyncWriteBytes {
 		write()
 	} else {
 		go write()
@@ -141,41 +140,41 @@
 	return done
 }
 
-// receive reads answers until the one to this request; framed says whether the
-// framing allows another exchange once the answer has ended.
-func (c *Conn) receive(r Request) (answer *Answer, framed bool, err error) {
+// receive reads answers up to the one to this request; selfDelimited says whether its
+// framing allows another exchange once it has ended.
+func (c *Conn) receive(r Request) (answer *Answer, selfDelimited bool, err error) {
 	names := c.pool.options.Names
-	for range maxSurplus {
+	for range maxSurplusAnswers {
 		response, err := c.readHead(r.Method)
 		if err != nil {
 			return nil, false, err
 		}
-		signals := c.observeRequest(response)
-		framed := isFramed(response)
+		signals := c.observeAnswer(response)
+		selfDelimited := isSelfDelimited(response)
 		id := response.Header.Get(names.RequestID)
 		if id == r.ID || id == "" && c.exchanges == 1 {
-			c.learnIdle(response.Header)
-			answer, err := c.begin(r, response)
+			c.learnIdleTimeout(response.Header)
+			answer, err := c.readBody(r, response)
 			if answer != nil {
 				answer.signals = signals
 			}
-			return answer, framed, err
+			return answer, selfDelimited, err
 		}
 		if id == "" {
-			return nil, false, errUnnamed
+			return nil, false, errNoRequestID
 		}
-		if !framed {
-			return nil, false, errSurplus
+		if !selfDelimited {
+			return nil, false, errTooManySurplus
 		}
-		if err := c.drop(response); err != nil {
+		if err := c.discardBody(response); err != nil {
 			return nil, false, err
 		}
 	}
-	return nil, false, errSurplus
+	return nil, false, errTooManySurplus
 }
 
-// readHead reads the head of the next answer on the connection, leaving out interim
-// ones.
+// readHead reads the head of the next answer on the connection and skips interim
+// (1xx) ones.
 func (c *Conn) readHead(method string) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -185,37 +184,38 @@
 	}
 }
 
-// isFramed says whether the end of an answer can be found without the end of its
-// connection.
-func isFramed(r *http.Response) bool {
+// isSelfDelimited reports whether the end of an answer is known from its framing, without
+// the connection being closed.
+func isSelfDelimited(r *http.Response) bool {
 	return !r.Close && (r.ContentLength >= 0 || len(r.TransferEncoding) > 0)
 }
 
-// drop reads the body of an answer that nobody wants.
-func (c *Conn) drop(r *http.Response) error {
-	most := c.pool.options.AnswerBytes
-	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, most+1))
-	if err == nil && n > most {
+// discardBody reads and drops the body of an answer.
+func (c *Conn) discardBody(r *http.Response) error {
+	limit := c.pool.options.MaxAnswerBytes
+	n, err := io.Copy(io.Discard, io.LimitReader(r.Body, limit+1))
+	if err == nil && n > limit {
 		return errTooLong
 	}
 	return err
 }
 
-// learnIdle reads how long the target keeps an idle connection.
-func (c *Conn) learnIdle(h http.Header) {
+// learnIdleTimeout reads from Keep-Alive how long the target keeps an idle connection.
+func (c *Conn) learnIdleTimeout(h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds > 0 {
-			c.idleLimit = time.Duration(idleShare * float64(seconds) * float64(time.Second))
+			c.idleTimeout = time.Duration(idleTimeoutShare * float64(seconds) * float64(time.Second))
 		}
 	}
 }
 
-// failureOf says whether the target may have run a request without an answer.
-func failureOf(ctx context.Context, cause error, wrote written) *verdict.Error {
+// exchangeError returns the error of a request without a complete answer; its verdict says whether
+// the target may have run it.
+func exchangeError(ctx context.Context, cause error, wrote writeResult) *verdict.Error {
 	v := verdict.MayHaveRun
 	if wrote.bytes == 0 && wrote.err != nil {
 		v = verdict.NotRun
@@ -226,6 +226,6 @@
 	case ctx.Err() != nil:
 		return verdict.New(v, verdict.ReasonClientGone, "the request was cancelled").WithCause(cause)
 	default:
-		return verdict.New(v, verdict.ReasonTargetFailed, "the connection broke or held no whole answer").WithCause(cause)
+		return verdict.New(v, verdict.ReasonTargetFailed, "the connection failed before the answer was complete").WithCause(cause)
 	}
 }
--- a/internal/gateway/upstream/refuses.go
+++ b/internal/gateway/upstream/refuses.go
@@ -9,15 +9,15 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 )
 
-// refusesTimeout bounds Refuses, which whoever waits for a failed send pays for.
-// A refusal takes one way there and back, some milliseconds within a region.
-const refusesTimeout = 100 * time.Millisecond
+// refusalCheckTimeout bounds RefusesConnections, which delays the handling of a failed
+// send. A refusal takes one round trip, some milliseconds within a region.
+const refusalCheckTimeout = 100 * time.Millisecond
 
-// Refuses says whether nobody listens at a target's address: its process has ended. One
-// that has fallen silent, or can't be reached, is not distinguished from one that lives. A
-// connection that could be made is kept for requests.
-func (p *Pool) Refuses(ctx context.Context, target catalog.Target) bool {
-	ctx, cancel := context.WithTimeout(ctx, refusesTimeout)
+// RefusesConnections reports whether nothing listens at a target's address, which means
+// that its process has ended. It does not tell a target that hangs or can't be reached from
+// one that works. A connection that could be made is kept for requests.
+func (p *Pool) RefusesConnections(ctx context.Context, target catalog.Target) bool {
+	ctx, cancel := context.WithTimeout(ctx, refusalCheckTimeout)
 	defer cancel()
 	conn, failure := p.open(ctx, target)
 	if failure != nil {
--- a/internal/gateway/upstream/signals.go
+++ b/internal/gateway/upstream/signals.go
@@ -9,48 +9,48 @@
 	"github.com/sprucecrank/sprucecrank/internal/headers"
 )
 
-// observeRequest is observeHead of an answer to a request, be it one that nobody waits for any
-// more. Another target at the address answers that it is misdirected.
-func (c *Conn) observeRequest(response *http.Response) signal.Signals {
+// observeAnswer calls observeHead for the answer to a request, also to one that has already
+// ended. It skips a 421: that is how another target at the same address answers.
+func (c *Conn) observeAnswer(response *http.Response) signal.Signals {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return signal.Signals{}
 	}
 	return c.observeHead(response, quota.SourceAnswer)
 }
 
-// observeHead reports what the head of an answer says of the target, also where its body breaks off.
-func (c *Conn) observeHead(response *http.Response, via quota.Source) signal.Signals {
-	c.observeLimit(response, via)
-	s := c.signals(response)
+// observeHead reports the signals in the head of an answer, even if its body breaks off later.
+func (c *Conn) observeHead(response *http.Response, source quota.Source) signal.Signals {
+	c.observeLimit(response, source)
+	s := c.parseSignals(response)
 	if !s.IsZero() {
-		c.pool.observe(c.target, s)
+		c.pool.observeSignals(c.target, s)
 	}
 	return s
 }
 
-// observeLimit reports what the head of an answer says of the target's limit. A failed request that names
-// none says nothing: its answer may be of a part of the target that knows of no limit.
-func (c *Conn) observeLimit(response *http.Response, via quota.Source) {
+// observeLimit reports the limit that the head of an answer advertises, or that there is none. A failed
+// answer without a limit is ignored: it may come from a part of the target that does not know the limit.
+func (c *Conn) observeLimit(response *http.Response, source quota.Source) {
 	values := response.Header.Values(c.pool.options.Names.Limit)
 	failed := response.StatusCode >= http.StatusMultipleChoices
-	if via == quota.SourceAnswer && failed && len(values) == 0 {
+	if source == quota.SourceAnswer && failed && len(values) == 0 {
 		return
 	}
-	c.pool.limit(c.target.Life(), via, values)
+	c.pool.observeLimit(c.target.Life(), source, values)
 }
 
-// signals reads the head of an answer.
-func (c *Conn) signals(response *http.Response) (s signal.Signals) {
+// parseSignals reads the back-off and leaving signals in the head of an answer.
+func (c *Conn) parseSignals(response *http.Response) (s signal.Signals) {
 	o := c.pool.options
 	backOff, err := headers.BackOff(response, o.Clock())
 	if err != nil {
-		o.Log.Warn("back-off of a target passed over", "target", c.target.ID, "error", err.Error())
+		o.Log.Warn("invalid back-off of a target ignored", "target", c.target.ID, "error", err.Error())
 	}
 	s.BackOff = backOff
 	if value := response.Header.Get(o.Names.Leaving); value != "" {
 		leaving, err := strconv.ParseBool(value)
 		if err != nil {
-			o.Log.Warn("header of a target passed over", "target", c.target.ID, "header", o.Names.Leaving, "value", value, "error", err.Error())
+			o.Log.Warn("invalid header of a target ignored", "target", c.target.ID, "header", o.Names.Leaving, "value", value, "error", err.Error())
 		}
 		s.Leaving = leaving
 	}
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -1,29 +1,29 @@
-// Package upstream holds the gateway's connections to targets and makes
-// exchanges on them. It never sends a request twice by itself: whoever calls
-// Exchange has made exactly one send, and the error's verdict says whether the
-// target may have run it. Why it uses the parser of net/http and not its transport:
+// Package upstream pools the gateway's connections to targets and exchanges
+// requests and answers on them. It never retries: each call of Exchange sends the
+// request at most once, and the error's verdict says whether the target may have
+// run it. Why it uses the parser of net/http and not its transport:
 // docs/DESIGN.md, "Why our own connections".
 //
-// It owns the idle connections. It relies on targets for framing and ids only as
-// far as it can check them; a connection on which anything is out of order is
-// closed and not used again.
+// It owns the idle connections. It trusts framing and request ids from targets only
+// as far as it can check them; a connection with any irregularity is closed and not
+// used again.
 //
-// An answer is given out only if it repeats the id of the request: a surplus answer
-// of an earlier request is dropped, wherever it lies on the connection. A short
-// answer is read whole first; a long one is given out from its head on and read as
-// fast as it is taken, if the caller allows (body.go). All bytes that are held of
-// answers are counted in a Room.
+// An answer is returned only if it repeats the id of the request: a surplus answer
+// to an earlier request is dropped, wherever it is on the connection. A short
+// answer is buffered first; a long one is streamed as fast as the caller reads it,
+// if the caller allows it (body.go). All bytes of answers that are held in memory
+// are counted in a MemoryBudget.
 //
 // # Usage
 //
 //	pool := upstream.New(upstream.Options{Names: names, Clock: time.Now})
-//	pool.SetGate(gate) // asked before each write
+//	pool.SetGate(gate) // called before each write
 //	pool.OnSignals(register.Observe)
 //	pool.OnLimit(quota.ObserveLimit)
 //	conn, failure := pool.Get(ctx, target)
 //	answer, failure := conn.Exchange(ctx, request)
 //	answer.OnEnd(func(*verdict.Error) { pool.Put(conn) })
-//	for !answer.Whole() {
+//	for !answer.Buffered() {
 //		piece, err := answer.Next() // until io.EOF
 //	}
 //	answer.Close()
@@ -46,19 +46,19 @@
 )
 
 const (
-	// defaultIdle is how long a connection may stay idle where targets don't say:
+	// defaultIdleTimeout is how long a connection may stay idle if its target does not say:
 	// shorter than servers usually keep one.
-	defaultIdle = 4 * time.Second
-	// idleShare is the share of a target's own idle time that is used, so that a
-	// request is not sent into a connection that is being closed.
-	idleShare = 0.75
-	// readBufferSize is that of each connection, in bytes: a head fits.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutShare is the share of a target's own idle timeout that is used, so that
+	// a request is not sent on a connection that the target is closing.
+	idleTimeoutShare = 0.75
+	// readBufferSize is the read buffer of each connection, in bytes: a head fits.
 	readBufferSize = 4 << 10
-	// maxAnswerBytes bounds an answer that must be held in memory whole.
-	maxAnswerBytes = 8 << 20
-	// roomBytes is the room for answers where none is given.
-	roomBytes = 64 << 20
-	// dialTimeout bounds the making of a connection. One takes about 1 ms.
+	// defaultMaxAnswerBytes bounds an answer that must be buffered.
+	defaultMaxAnswerBytes = 8 << 20
+	// defaultBudgetBytes is the memory budget for answers if none is given.
+	defaultBudgetBytes = 64 << 20
+	// dialTimeout bounds dialling, which takes about 1 ms.
 	dialTimeout = time.Second
 )
 
@@ -70,30 +70,30 @@
 	Names headers.Names
 	Clock func() time.Time
 	Dial  Dial
-	// AnswerBytes bounds one answer that is read whole; 0 means 8 MB.
-	AnswerBytes int64
-	// WholeBytes is the longest answer that is read whole though it may be streamed,
-	// in bytes; 0 takes the default.
-	WholeBytes int
-	// Room bounds what is held of answers; nil for room of 64 MB.
-	Room *Room
+	// MaxAnswerBytes bounds one answer that is buffered; 0 means 8 MB.
+	MaxAnswerBytes int64
+	// MaxBufferedBytes is the longest answer, in bytes, that is buffered although it may be
+	// streamed; 0 means the default.
+	MaxBufferedBytes int
+	// Budget bounds the bytes of answers held in memory; nil means 64 MB.
+	Budget *MemoryBudget
 	// Opened is called for each new connection.
 	Opened func()
-	// Log may be nil.
+	// Log may be nil, which discards the log.
 	Log *slog.Logger
 }
 
 // Pool keeps connections to targets between requests.
 type Pool struct {
-	options Options
-	observe func(target catalog.Target, s signal.Signals)
-	limit   func(life catalog.Life, via quota.Source, values []string)
-	gate    func(life catalog.Life) *verdict.Error
-	mu      sync.Mutex
-	idle    map[catalog.Life][]*Conn // latest used last
+	options        Options
+	observeSignals func(target catalog.Target, s signal.Signals)
+	observeLimit   func(incarnation catalog.Life, source quota.Source, values []string)
+	gate           func(incarnation catalog.Life) *verdict.Error
+	mu             sync.Mutex
+	idle           map[catalog.Life][]*Conn // most recently used last
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(o Options) *Pool {
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -101,14 +101,14 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{}).DialContext
 	}
-	if o.AnswerBytes == 0 {
-		o.AnswerBytes = maxAnswerBytes
+	if o.MaxAnswerBytes == 0 {
+		o.MaxAnswerBytes = defaultMaxAnswerBytes
 	}
-	if o.WholeBytes == 0 {
-		o.WholeBytes = wholeBytes
+	if o.MaxBufferedBytes == 0 {
+		o.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
-	if o.Room == nil {
-		o.Room = NewRoom(roomBytes)
+	if o.Budget == nil {
+		o.Budget = NewMemoryBudget(defaultBudgetBytes)
 	}
 	if o.Opened == nil {
 		o.Opened = func() {}
@@ -118,90 +118,92 @@
 	}
 	return &Pool{
 		options: o, idle: map[catalog.Life][]*Conn{},
-		observe: func(catalog.Target, signal.Signals) {}, limit: func(catalog.Life, quota.Source, []string) {},
+		observeSignals: func(catalog.Target, signal.Signals) {}, observeLimit: func(catalog.Life, quota.Source, []string) {},
 		gate: func(catalog.Life) *verdict.Error { return nil },
 	}
 }
 
-// SetGate has gate asked right before anything is written to a target, a request or a probe: where it
-// gives a reason, nothing is. It must be called before any connection is made.
-func (p *Pool) SetGate(gate func(life catalog.Life) *verdict.Error) { p.gate = gate }
+// SetGate sets the function that is called right before a request or a probe is written to a target: if
+// it returns an error, nothing is written. SetGate must be called before any connection is made.
+func (p *Pool) SetGate(gate func(incarnation catalog.Life) *verdict.Error) { p.gate = gate }
 
-// OnSignals has observe called with what the head of an answer says of its target, if anything,
-// before the answer is given out. It must be called before any connection is made.
-func (p *Pool) OnSignals(observe func(target catalog.Target, s signal.Signals)) { p.observe = observe }
+// OnSignals sets the function that is called with the signals in the head of an answer, if there are
+// any, before the answer is returned. OnSignals must be called before any connection is made.
+func (p *Pool) OnSignals(observe func(target catalog.Target, s signal.Signals)) {
+	p.observeSignals = observe
+}
 
-// OnLimit has observe called with what the head of an answer says of the limit of its target, by the values of
-// the header that names it, before the answer is given out: none say that it has no limit. It must be
+// OnLimit sets the function that is called with the limit that the head of an answer advertises, as the
+// values of its limit header, before the answer is returned: no values mean no limit. OnLimit must be
 // called before any connection is made.
-func (p *Pool) OnLimit(observe func(life catalog.Life, via quota.Source, values []string)) {
-	p.limit = observe
+func (p *Pool) OnLimit(observe func(incarnation catalog.Life, source quota.Source, values []string)) {
+	p.observeLimit = observe
 }
 
-// Conn is one connection to one start of a target. One exchange at a time may
-// be made on it.
+// Conn is one connection to one incarnation of a target. Only one exchange at a
+// time may be made on it.
 type Conn struct {
-	pool      *Pool
-	target    catalog.Target
-	net       net.Conn
-	reader    *bufio.Reader
-	exchanges int
-	opened    time.Duration
-	idleLimit time.Duration
-	idleSince time.Time
-	reusable  bool
+	pool        *Pool
+	target      catalog.Target
+	net         net.Conn
+	reader      *bufio.Reader
+	exchanges   int
+	dialTime    time.Duration
+	idleTimeout time.Duration
+	idleSince   time.Time
+	reusable    bool
 }
 
-// Target is the target at the other end.
+// Target returns the target that the connection leads to.
 func (c *Conn) Target() catalog.Target { return c.target }
 
-// Opened is the time that the making of the connection took; isNew says that nothing
-// was exchanged on it yet.
-func (c *Conn) Opened() (took time.Duration, isNew bool) { return c.opened, c.exchanges == 0 }
+// DialTime returns how long dialling took; isNew reports that nothing was exchanged on the
+// connection yet.
+func (c *Conn) DialTime() (took time.Duration, isNew bool) { return c.dialTime, c.exchanges == 0 }
 
-// Get takes an idle connection to a target, or makes a new one.
+// Get returns an idle connection to a target, or opens a new one.
 func (p *Pool) Get(ctx context.Context, target catalog.Target) (*Conn, *verdict.Error) {
 	for {
 		conn := p.takeIdle(target.Life())
 		if conn == nil {
 			return p.open(ctx, target)
 		}
-		if conn.quiet() {
+		if conn.isUsable() {
 			return conn, nil
 		}
 		conn.Close()
 	}
 }
 
-func (p *Pool) takeIdle(life catalog.Life) *Conn {
+func (p *Pool) takeIdle(incarnation catalog.Life) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conns := p.idle[life]
+	conns := p.idle[incarnation]
 	if len(conns) == 0 {
 		return nil
 	}
 	conn := conns[len(conns)-1]
-	p.idle[life] = conns[:len(conns)-1]
+	p.idle[incarnation] = conns[:len(conns)-1]
 	return conn
 }
 
 func (p *Pool) open(ctx context.Context, target catalog.Target) (*Conn, *verdict.Error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	began := p.options.Clock()
+	start := p.options.Clock()
 	raw, err := p.options.Dial(ctx, "tcp", target.Address)
 	if err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonUnreachable, "no connection to the target could be made").WithCause(err)
 	}
 	p.options.Opened()
 	return &Conn{
-		pool: p, target: target, net: raw, idleLimit: defaultIdle, reusable: true,
-		opened: p.options.Clock().Sub(began),
-		reader: bufio.NewReaderSize(raw, readBufferSize),
+		pool: p, target: target, net: raw, idleTimeout: defaultIdleTimeout, reusable: true,
+		dialTime: p.options.Clock().Sub(start),
+		reader:   bufio.NewReaderSize(raw, readBufferSize),
 	}, nil
 }
 
-// Put gives a connection back; one that can't be used again is closed.
+// Put returns a connection to the pool, or closes it if it can't be reused.
 func (p *Pool) Put(c *Conn) {
 	if !c.reusable {
 		c.Close()
@@ -210,73 +212,73 @@
 	c.idleSince = p.options.Clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	life := c.target.Life()
-	p.idle[life] = append(p.idle[life], c)
+	incarnation := c.target.Life()
+	p.idle[incarnation] = append(p.idle[incarnation], c)
 }
 
-// Close ends the connection. How that goes says nothing: it is not used again.
+// Close closes the connection. It ignores the error because the connection is not used again.
 func (c *Conn) Close() {
 	c.reusable = false
 	_ = c.net.Close()
 }
 
-// quiet says whether an idle connection can be used: it has not been idle for
-// too long, the target has not closed it, and nothing lies unread on it.
-func (c *Conn) quiet() bool {
-	if c.pool.options.Clock().Sub(c.idleSince) > c.idleLimit || c.reader.Buffered() > 0 {
+// isUsable reports whether an idle connection can be used: it has not been idle for
+// too long, the target has not closed it, and it holds no unread bytes.
+func (c *Conn) isUsable() bool {
+	if c.pool.options.Clock().Sub(c.idleSince) > c.idleTimeout || c.reader.Buffered() > 0 {
 		return false
 	}
-	system, ok := c.net.(syscall.Conn)
+	sysConn, ok := c.net.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := system.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	nothing := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, readErr := syscall.Read(int(fd), one[:])
-		nothing = readErr == syscall.EAGAIN
+		var buffer [1]byte
+		_, readErr := syscall.Read(int(fd), buffer[:])
+		noData = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && noData
 }
 
-// Retain closes the idle connections that have been idle for too long and
-// those to targets that keep does not name.
-func (p *Pool) Retain(keep func(life catalog.Life) bool) {
+// Retain closes the connections that have been idle for too long and those to
+// incarnations of targets for which keep returns false.
+func (p *Pool) Retain(keep func(incarnation catalog.Life) bool) {
 	now := p.options.Clock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for life, conns := range p.idle {
+	for incarnation, conns := range p.idle {
 		kept := conns[:0]
 		for _, conn := range conns {
-			if keep(life) && now.Sub(conn.idleSince) <= conn.idleLimit {
+			if keep(incarnation) && now.Sub(conn.idleSince) <= conn.idleTimeout {
 				kept = append(kept, conn)
 				continue
 			}
 			conn.Close()
 		}
 		clear(conns[len(kept):])
-		p.idle[life] = kept
+		p.idle[incarnation] = kept
 		if len(kept) == 0 {
-			delete(p.idle, life)
+			delete(p.idle, incarnation)
 		}
 	}
 }
 
-// Idle counts the idle connections.
+// Idle returns the number of idle connections to each incarnation of a target.
 func (p *Pool) Idle() map[catalog.Life]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	counts := make(map[catalog.Life]int, len(p.idle))
-	for life, conns := range p.idle {
-		counts[life] = len(conns)
+	for incarnation, conns := range p.idle {
+		counts[incarnation] = len(conns)
 	}
 	return counts
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (p *Pool) Close() { p.Retain(func(catalog.Life) bool { return false }) }
--- a/internal/gateway/upstream/upstream_test.go
+++ b/internal/gateway/upstream/upstream_test.go
@@ -22,7 +22,7 @@
 
 var names = headers.Defaults()
 
-// rawTarget answers each request on its connections by a script, byte by byte.
+// rawTarget answers each request on its connections with the raw bytes that a script writes.
 type rawTarget struct {
 	target   catalog.Target
 	accepted atomic.Int32
@@ -46,13 +46,13 @@
 				return
 			}
 			s.accepted.Add(1)
-			go s.converse(conn, answer)
+			go s.serveConn(conn, answer)
 		}
 	}()
 	return s
 }
 
-func (s *rawTarget) converse(conn net.Conn, answer script) {
+func (s *rawTarget) serveConn(conn net.Conn, answer script) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -67,7 +67,7 @@
 	}
 }
 
-func whole(id, body string, extra ...string) string {
+func wholeAnswer(id, body string, extra ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n%s\r\n%s", names.RequestID, id, len(body), strings.Join(extra, ""), body)
 }
 
@@ -79,7 +79,7 @@
 	return upstream.Request{Method: http.MethodGet, URI: "/a?b=c", Host: "shop.example", ID: id, Header: http.Header{names.RequestID: {id}}}
 }
 
-// exchange makes one exchange on a connection of the pool and gives it back.
+// exchange makes one exchange on a connection of the pool and returns it.
 func exchange(t *testing.T, pool *upstream.Pool, s *rawTarget, r upstream.Request) (*upstream.Answer, *verdict.Error) {
 	t.Helper()
 	conn, failure := pool.Get(context.Background(), s.target)
@@ -92,10 +92,10 @@
 	return conn.Exchange(ctx, r)
 }
 
-func TestAWholeAnswerIsReadAndTheConnectionKept(t *testing.T) {
+func TestConnectionIsReusedAfterABufferedAnswer(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *http.Request, _ int32) {
-		write(c, whole(r.Header.Get(names.RequestID), "hello", names.Load+": 1,0,3,500\r\n"))
+		write(c, wholeAnswer(r.Header.Get(names.RequestID), "hello", names.Load+": 1,0,3,500\r\n"))
 	})
 	pool := newPool()
 	for _, id := range []string{"one", "two"} {
@@ -106,20 +106,20 @@
 	g.Expect(s.accepted.Load()).To(Equal(int32(1)))
 }
 
-func TestNoAnswerOfAnotherRequestIsEverGivenOut(t *testing.T) {
-	// Each case leaves something behind the first answer; the second request
-	// must get its own answer or none.
+func TestAnswerToAnotherRequestIsNeverReturned(t *testing.T) {
+	// Each case writes surplus bytes after the first answer, or before the second
+	// one. Each request must get its own answer or none.
 	for name, surplus := range map[string]string{
-		"a surplus answer":            whole("stranger", "not yours"),
-		"two surplus answers":         whole("stranger", "no") + whole("stranger", "no"),
-		"a surplus answer with no id": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno",
-		"bytes that are no answer":    "\x00\x01garbage\r\n\r\n",
+		"a surplus answer":               wholeAnswer("other", "other body"),
+		"two surplus answers":            wholeAnswer("other", "no") + wholeAnswer("other", "no"),
+		"a surplus answer without an id": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno",
+		"malformed bytes":                "\x00\x01garbage\r\n\r\n",
 	} {
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, late %v", name, late), func(t *testing.T) {
 				g := NewWithT(t)
 				s := serve(t, func(c net.Conn, r *http.Request, n int32) {
-					own := whole(r.Header.Get(names.RequestID), "own")
+					own := wholeAnswer(r.Header.Get(names.RequestID), "own")
 					switch {
 					case n == 1 && !late:
 						write(c, own+surplus)
@@ -142,13 +142,13 @@
 	}
 }
 
-func TestALateSurplusAnswerIsPassedOver(t *testing.T) {
+func TestLateSurplusAnswerIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *http.Request, n int32) {
 		if n == 2 {
-			write(c, whole("one", "again"))
+			write(c, wholeAnswer("one", "again"))
 		}
-		write(c, whole(r.Header.Get(names.RequestID), "own"))
+		write(c, wholeAnswer(r.Header.Get(names.RequestID), "own"))
 	})
 	pool := newPool()
 	for _, id := range []string{"one", "two"} {
@@ -158,13 +158,13 @@
 	}
 }
 
-func TestAnAnswerThatEndsEarlyIsAFailureThatMayHaveRun(t *testing.T) {
+func TestTruncatedAnswerFailsAsMayHaveRun(t *testing.T) {
 	for name, answer := range map[string]string{
-		"no byte":            "",
-		"half a head":        "HTTP/1.1 200 OK\r\nContent-Le",
-		"half a body":        "HTTP/1.1 200 OK\r\n" + names.RequestID + ": one\r\nContent-Length: 9\r\n\r\nhalf",
-		"half the chunks":    "HTTP/1.1 200 OK\r\n" + names.RequestID + ": one\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-		"bytes of no answer": "\x16\x03\x01 hello",
+		"no byte":         "",
+		"half a head":     "HTTP/1.1 200 OK\r\nContent-Le",
+		"half a body":     "HTTP/1.1 200 OK\r\n" + names.RequestID + ": one\r\nContent-Length: 9\r\n\r\nhalf",
+		"half the chunks": "HTTP/1.1 200 OK\r\n" + names.RequestID + ": one\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+		"malformed bytes": "\x16\x03\x01 hello",
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -175,12 +175,12 @@
 			_, failure := exchange(t, newPool(), s, request("one"))
 			g.Expect(failure).NotTo(BeNil())
 			g.Expect(failure.Verdict()).To(Equal(verdict.MayHaveRun))
-			g.Expect(s.requests.Load()).To(Equal(int32(1)), "nothing is sent again by itself")
+			g.Expect(s.requests.Load()).To(Equal(int32(1)), "not retried")
 		})
 	}
 }
 
-func TestAnAnswerWithoutALengthIsWholeOnlyIfItsConnectionEndsCleanly(t *testing.T) {
+func TestAnswerWithoutALengthNeedsACleanEndOfItsConnection(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\n" + names.RequestID + ": one\r\nConnection: close\r\n\r\nall of it"
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprint("reset ", reset), func(t *testing.T) {
@@ -188,7 +188,7 @@
 			s := serve(t, func(c net.Conn, _ *http.Request, _ int32) {
 				write(c, head)
 				if reset {
-					// Let the bytes arrive before the reset discards them.
+					// Let the bytes arrive before the reset, which discards unread ones.
 					time.Sleep(20 * time.Millisecond)
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
@@ -205,11 +205,11 @@
 	}
 }
 
-func TestAConnectionThatTheTargetClosedIsNotUsedAgain(t *testing.T) {
+func TestConnectionClosedByTheTargetIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	closed := make(chan struct{})
 	s := serve(t, func(c net.Conn, r *http.Request, n int32) {
-		write(c, whole(r.Header.Get(names.RequestID), "own"))
+		write(c, wholeAnswer(r.Header.Get(names.RequestID), "own"))
 		if n == 1 {
 			_ = c.Close()
 			close(closed)
@@ -224,12 +224,12 @@
 	g.Expect(s.accepted.Load()).To(Equal(int32(2)))
 }
 
-func TestATargetsHeadersOnConnectionsAreHeeded(t *testing.T) {
-	for name, header := range map[string]string{"close": "Connection: close\r\n", "idle time over": "Keep-Alive: timeout=1\r\n"} {
+func TestConnectionAndKeepAliveHeadersAreObeyed(t *testing.T) {
+	for name, header := range map[string]string{"close": "Connection: close\r\n", "idle timeout exceeded": "Keep-Alive: timeout=1\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := serve(t, func(c net.Conn, r *http.Request, _ int32) {
-				write(c, whole(r.Header.Get(names.RequestID), "own", header))
+				write(c, wholeAnswer(r.Header.Get(names.RequestID), "own", header))
 			})
 			now := time.Unix(1000, 0)
 			pool := upstream.New(upstream.Options{Names: names, Clock: func() time.Time { return now }})
@@ -243,11 +243,11 @@
 	}
 }
 
-func TestAnAnswerBeforeTheEndOfALongBodyLeavesNoOtherBytesInItsPlace(t *testing.T) {
+func TestEarlyAnswerToALongRequestKeepsOtherRequestsOffTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	bodies := make(chan string, 4)
 	s := serve(t, func(c net.Conn, r *http.Request, _ int32) {
-		write(c, strings.Replace(whole(r.Header.Get(names.RequestID), "no"), "200 OK", "503 Busy", 1))
+		write(c, strings.Replace(wholeAnswer(r.Header.Get(names.RequestID), "no"), "200 OK", "503 Busy", 1))
 		body, _ := io.ReadAll(r.Body)
 		bodies <- string(body)
 	})
@@ -260,10 +260,10 @@
 	g.Expect(failure).To(BeNil())
 	var first string
 	g.Eventually(bodies, 5*time.Second).Should(Receive(&first))
-	g.Expect(strings.Trim(first, "a")).To(BeEmpty(), "only bytes of the first request")
+	g.Expect(strings.Trim(first, "a")).To(BeEmpty(), "only bytes of the first request's body")
 }
 
-func TestACancelledRequestEndsItsConnection(t *testing.T) {
+func TestCancelledRequestClosesItsConnection(t *testing.T) {
 	g := NewWithT(t)
 	arrived, gone := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(c net.Conn, _ *http.Request, _ int32) {
@@ -285,7 +285,7 @@
 	g.Eventually(gone, 5*time.Second).Should(BeClosed())
 }
 
-func TestATargetThatCannotBeReachedDidNotRunTheRequest(t *testing.T) {
+func TestUnreachableTargetFailsAsNotRun(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -296,16 +296,16 @@
 	g.Expect(failure.Reason()).To(Equal(verdict.ReasonUnreachable))
 }
 
-func TestAHealthCheckBelievesOnlyTheTargetItself(t *testing.T) {
+func TestHealthCheckAcceptsOnlyTheTargetItself(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		well   bool
-		fails  bool
+		answer  string
+		healthy bool
+		fails   bool
 	}{
-		"itself":         {"HTTP/1.1 200 OK\r\n" + names.Instance + ": target-1\r\n" + names.Load + ": 1,0,3,500\r\nContent-Length: 0\r\n\r\n", true, false},
-		"ill":            {"HTTP/1.1 503 Ill\r\n" + names.Instance + ": target-1\r\nContent-Length: 0\r\n\r\n", false, false},
-		"another target": {"HTTP/1.1 200 OK\r\n" + names.Instance + ": target-2\r\nContent-Length: 0\r\n\r\n", false, true},
-		"another answer": {whole("stranger", "no"), false, true},
+		"healthy":             {"HTTP/1.1 200 OK\r\n" + names.Instance + ": target-1\r\n" + names.Load + ": 1,0,3,500\r\nContent-Length: 0\r\n\r\n", true, false},
+		"unhealthy":           {"HTTP/1.1 503 Ill\r\n" + names.Instance + ": target-1\r\nContent-Length: 0\r\n\r\n", false, false},
+		"other instance":      {"HTTP/1.1 200 OK\r\n" + names.Instance + ": target-2\r\nContent-Length: 0\r\n\r\n", false, true},
+		"answer to a request": {wholeAnswer("other", "no"), false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -316,10 +316,10 @@
 			defer pool.Put(conn)
 			health, err := conn.Probe("/health", 5*time.Second)
 			g.Expect(err != nil).To(Equal(c.fails))
-			g.Expect(health.Healthy()).To(Equal(c.well))
+			g.Expect(health.Healthy()).To(Equal(c.healthy))
 			report, ok := health.Load()
-			g.Expect(ok).To(Equal(c.well))
-			if c.well {
+			g.Expect(ok).To(Equal(c.healthy))
+			if c.healthy {
 				g.Expect(report.Slowness()).To(Equal(5.0))
 			}
 		})
@@ -327,19 +327,19 @@
 }
 
 func FuzzAnswer(f *testing.F) {
-	f.Add(whole("one", "hello"))
-	f.Add("HTTP/1.1 100 Continue\r\n\r\n" + whole("one", "x"))
+	f.Add(wholeAnswer("one", "hello"))
+	f.Add("HTTP/1.1 100 Continue\r\n\r\n" + wholeAnswer("one", "x"))
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n")
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n")
-	f.Fuzz(func(t *testing.T, bytes string) {
-		ours, theirs := net.Pipe()
+	f.Fuzz(func(t *testing.T, response string) {
+		gatewayConn, targetConn := net.Pipe()
 		go func() {
-			_, _ = http.ReadRequest(bufio.NewReader(theirs))
-			write(theirs, bytes)
-			_ = theirs.Close()
+			_, _ = http.ReadRequest(bufio.NewReader(targetConn))
+			write(targetConn, response)
+			_ = targetConn.Close()
 		}()
-		pool := upstream.New(upstream.Options{Names: names, AnswerBytes: 1 << 16,
-			Dial: func(context.Context, string, string) (net.Conn, error) { return ours, nil }})
+		pool := upstream.New(upstream.Options{Names: names, MaxAnswerBytes: 1 << 16,
+			Dial: func(context.Context, string, string) (net.Conn, error) { return gatewayConn, nil }})
 		conn, failure := pool.Get(context.Background(), catalog.Target{ID: "s"})
 		if failure != nil {
 			t.Fatal(failure)
@@ -347,7 +347,7 @@
 		answer, failure := conn.Exchange(context.Background(), request("one"))
 		if failure == nil {
 			if id := answer.Header().Get(names.RequestID); id != "one" && id != "" {
-				t.Fatalf("gave out the answer of %q", id)
+				t.Fatalf("returned the answer to request %q", id)
 			}
 		}
 		pool.Put(conn)
--- a/internal/gateway/upstream/ways_test.go
+++ b/internal/gateway/upstream/ways_test.go
@@ -12,13 +12,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// writers are the functions of the package that write to a target, each with whoever asks the gate
-// for it.
+// writers maps each function of the package that writes to a target to the function that calls the
+// gate for it.
 var writers = map[string]string{"Probe": "Probe", "send": "Exchange"}
 
-// A way to a target that does not ask the gate fails here: whatever writes to a connection must be
-// named above, and who it names must ask.
-func TestEachWayToATargetAsksTheGate(t *testing.T) {
+// Guards against new code that writes to a connection without calling the gate: each such function must
+// be listed in writers, and the function that it maps to must call the gate.
+func TestEveryWriteToATargetCallsTheGate(t *testing.T) {
 	g := NewWithT(t)
 	paths, err := filepath.Glob("*.go")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -29,15 +29,15 @@
 		}
 		text, err := os.ReadFile(path)
 		g.Expect(err).NotTo(HaveOccurred())
-		files := token.NewFileSet()
-		file, err := parser.ParseFile(files, path, text, 0)
+		fileSet := token.NewFileSet()
+		file, err := parser.ParseFile(fileSet, path, text, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		for _, declared := range file.Decls {
 			f, ok := declared.(*ast.FuncDecl)
 			if !ok {
 				continue
 			}
-			body := string(text[files.Position(f.Pos()).Offset:files.Position(f.End()).Offset])
+			body := string(text[fileSet.Position(f.Pos()).Offset:fileSet.Position(f.End()).Offset])
 			bodies[f.Name.Name] += body
 			for name := range writers {
 				if strings.Contains(body, "."+name+"(") {
@@ -51,10 +51,10 @@
 			g.Expect(writers).To(HaveKey(name), "%s writes to a target", name)
 		}
 	}
-	for name, asks := range writers {
-		g.Expect(bodies[asks]).To(ContainSubstring(".gate("), "%s writes to a target", name)
-		if asks != name {
-			g.Expect(calls[name]).To(ConsistOf(asks), "callers of %s", name)
+	for name, gateCaller := range writers {
+		g.Expect(bodies[gateCaller]).To(ContainSubstring(".gate("), "%s writes to a target", name)
+		if gateCaller != name {
+			g.Expect(calls[name]).To(ConsistOf(gateCaller), "callers of %s", name)
 		}
 	}
 }
