--- a/internal/gateway/logging/logging.go
+++ b/internal/gateway/logging/logging.go
@@ -1,11 +1,10 @@
-// Package logging writes a process's structured logs without ever holding up
-// what logs: lines go into a bounded ring with a writer of its own, and a rate
-// bounds how many are written. Lines that find no room are counted, and a line
-// says how many were dropped.
+// Package logging writes a process's structured logs without ever blocking the
+// caller: lines go into a bounded buffer that a separate goroutine writes out, and
+// a rate limit bounds their volume. Lines beyond these bounds are dropped and
+// counted, and a log line reports how many were dropped.
 //
-// It owns the lines that wait and the count of those dropped. It relies on its
-// output only to take lines now and then: one that blocks costs lines and nothing
-// else.
+// It owns the pending lines and the count of dropped ones. An output that blocks
+// costs log lines, nothing else.
 //
 // # Usage
 //
@@ -25,31 +24,31 @@
 	"golang.org/x/time/rate"
 )
 
-// Options bound a Writer; zero values mean the defaults.
+// Options configure the bounds of a Writer; zero values mean the defaults.
 type Options struct {
-	// MaxPending is how many lines may wait to be written.
+	// MaxPending bounds the lines waiting to be written.
 	MaxPending int
-	// PerSecond and Burst bound how many are taken in.
+	// PerSecond and Burst limit the rate at which lines are accepted.
 	PerSecond float64
 	Burst     int
-	// FlushEvery is how long a line may wait for others to be written with it.
+	// FlushEvery is how long a line may wait to be written together with others.
 	FlushEvery time.Duration
 }
 
 const (
-	// defaultMaxPending is how many lines may wait: some seconds of the rate.
+	// defaultMaxPending bounds the pending lines: some seconds at the default rate.
 	defaultMaxPending = 2048
-	// defaultPerSecond and defaultBurst bound the volume under overload. A usual
-	// day stays below; what lines cost: docs/DESIGN.md, "Costs".
+	// defaultPerSecond and defaultBurst bound the volume under overload. Normal
+	// operation stays below; for the cost of log lines see docs/DESIGN.md, "Costs".
 	defaultPerSecond = 300
 	defaultBurst     = 1000
-	// defaultFlushEvery gathers lines for one write.
+	// defaultFlushEvery batches lines into one write.
 	defaultFlushEvery = 200 * time.Millisecond
-	// closeTimeout bounds the last write of a process that stops.
+	// closeTimeout bounds the last write when the process stops.
 	closeTimeout = 500 * time.Millisecond
 )
 
-// Writer takes whole lines and never blocks. It implements io.Writer.
+// Writer accepts whole lines and never blocks. It implements io.Writer.
 type Writer struct {
 	out       io.Writer
 	options   Options
@@ -63,7 +62,7 @@
 	closeOnce sync.Once
 }
 
-// NewWriter begins to write to out.
+// NewWriter returns a Writer to out and starts its goroutine.
 func NewWriter(out io.Writer, o Options) *Writer {
 	if o.MaxPending == 0 {
 		o.MaxPending = defaultMaxPending
@@ -85,10 +84,10 @@
 	return w
 }
 
-// Dropped counts the lines that found no room.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Write takes in one line; it always succeeds.
+// Write accepts or drops one line; it always succeeds.
 func (w *Writer) Write(line []byte) (int, error) {
 	if !w.limiter.Allow() {
 		w.dropped.Add(1)
@@ -128,7 +127,7 @@
 	}
 }
 
-// flush writes what waits, and how many lines were dropped since the last time.
+// flush writes the pending lines, and a line with the number of lines dropped since the last flush.
 func (w *Writer) flush(reported *uint64) {
 	w.mu.Lock()
 	lines := w.pending
@@ -139,12 +138,12 @@
 		*reported = dropped
 	}
 	if len(lines) > 0 {
-		// Lines that out does not take are lost, and there is nowhere to say so.
+		// If the write fails, its lines are lost, and there is nowhere to report that.
 		_, _ = w.out.Write(bytes.Join(lines, nil))
 	}
 }
 
-// Close writes what waits, unless out takes nothing for too long.
+// Close writes the pending lines, but waits for out no longer than closeTimeout.
 func (w *Writer) Close() {
 	w.closeOnce.Do(func() { close(w.closing) })
 	select {
--- a/internal/gateway/logging/logging_test.go
+++ b/internal/gateway/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/logging"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter is an output that blocks until it is released.
 type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -31,12 +31,12 @@
 	return b.text.String()
 }
 
-func TestABlockedOutputHoldsUpNobodyAndWhatIsDroppedIsSaid(t *testing.T) {
+func TestBlockedOutputDropsLinesWithoutBlockingTheCaller(t *testing.T) {
 	g := NewWithT(t)
 	out := &blockedWriter{release: make(chan struct{})}
 	w := logging.NewWriter(out, logging.Options{MaxPending: 10, PerSecond: 1e9, Burst: 1 << 30, FlushEvery: time.Millisecond})
 	const lines = 1000
-	for range lines { // this returns though nothing is taken
+	for range lines { // must return although the output blocks
 		n, err := w.Write([]byte("{}\n"))
 		g.Expect(n).To(Equal(3))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -48,7 +48,7 @@
 	g.Expect(strings.Count(out.String(), "{}\n")).To(BeNumerically("==", lines-int(w.Dropped())))
 }
 
-func TestARateBoundsTheLines(t *testing.T) {
+func TestLinesBeyondTheRateLimitAreDropped(t *testing.T) {
 	g := NewWithT(t)
 	out := &blockedWriter{release: make(chan struct{})}
 	close(out.release)
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -1,9 +1,9 @@
-// Package metrics holds the instruments of a gateway, by OpenTelemetry, and serves
-// them in Prometheus form. docs/OPERATIONS.md lists them with what to do when one
-// stands out.
+// Package metrics holds the OpenTelemetry instruments of a gateway and serves them
+// in the Prometheus format. docs/OPERATIONS.md lists them and says what to do about
+// unusual values.
 //
-// It owns the names, which are part of the operators' interface. A nil Metrics
-// records nothing.
+// It owns the metric names, which are part of the operators' interface. A nil
+// Metrics records nothing.
 //
 // # Usage
 //
@@ -43,43 +43,45 @@
 	peersLost  metric.Int64Counter
 	quotaAsks  metric.Int64Counter
 	cut        metric.Int64Counter
-	// rolloutWrites and rolloutReports are those of rollout.go.
+	// rolloutWrites and rolloutReports are recorded in rollout.go.
 	rolloutWrites  metric.Int64Counter
 	rolloutReports metric.Int64Counter
 	workspaces     *workspace.Counter
 }
 
-// State is what a gateway shows of itself when its metrics are read.
+// State is the state of a gateway that a scrape shows.
 type State struct {
-	// ConfigVersion is the version in force, ConfigAge how long ago, in
-	// seconds, it was confirmed to be the newest.
+	// ConfigVersion is the version in force, ConfigAge the time in seconds
+	// since it was last confirmed to be the newest.
 	ConfigVersion uint64
 	ConfigAge     float64
-	// EvacuatedHalls is how many halls are evacuated, as far as is known since
-	// ConfigAge.
+	// EvacuatedHalls is the number of evacuated halls, as confirmed ConfigAge
+	// ago.
 	EvacuatedHalls int
-	// CrossRegionServices is how many services have requests that go to other regions now.
+	// CrossRegionServices is the number of services with requests that are now sent to other
+	// regions.
 	CrossRegionServices int
-	// RoundTrips are the times there and back to each region, as they were measured.
+	// RoundTrips are the measured round trip times to each region.
 	RoundTrips map[string]time.Duration
-	// Active is how many requests are under way.
+	// Active is the number of requests in flight.
 	Active int64
-	// AnswerBytes is how many bytes are held of answers on their way to clients.
+	// AnswerBytes is the number of bytes of answers held in memory on their way to clients.
 	AnswerBytes int64
-	// Quarantined is how many requests are sent to nobody since targets end under them.
+	// Quarantined is the number of requests that are sent to no target because targets
+	// end while serving them.
 	Quarantined int
-	// LimitedTargets is how many targets are known to name limits.
+	// LimitedTargets is the number of targets known to advertise limits.
 	LimitedTargets int64
-	// BackingOff is how many targets asked this gateway for back-off that still lasts, and Leaving
-	// how many are known to leave.
+	// BackingOff is the number of targets whose back-off, requested from this gateway, still
+	// lasts; Leaving is the number of targets known to be leaving.
 	BackingOff, Leaving int
-	// LogDropped is how many log lines found no room.
+	// LogDropped is the number of log lines dropped.
 	LogDropped uint64
-	// Rollouts are those that are known.
+	// Rollouts are the known rollouts.
 	Rollouts []Rollout
 }
 
-// New sets up a gateway's metrics; state is read at each scrape.
+// New creates a gateway's metrics; state is called at each scrape.
 func New(state func() State) (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo(), otelprom.WithoutTargetInfo())
@@ -107,18 +109,18 @@
 		help string
 	}{
 		{&m.requests, "sprucecrank.gateway.requests", "Requests answered, by service and status."},
-		{&m.refusals, "sprucecrank.gateway.refusals", "Requests that the gateway itself ended, by service and reason."},
-		{&m.waits, "sprucecrank.gateway.waits", "Rounds in which a request found no target to go to, by service."},
-		{&m.sends, "sprucecrank.gateway.sends", "Sends to targets, by service, result, how far the target is, and whether it was the first of its request."},
+		{&m.refusals, "sprucecrank.gateway.refusals", "Requests that the gateway itself refused or failed, by service and reason."},
+		{&m.waits, "sprucecrank.gateway.waits", "Rounds of selection in which a request found no available target, by service."},
+		{&m.sends, "sprucecrank.gateway.sends", "Sends to targets, by service, result, distance tier of the target, and whether it was the first of its request."},
 		{&m.checks, "sprucecrank.gateway.checks", "Health checks, by service and result."},
 		{&m.opened, "sprucecrank.gateway.connections.opened", "New connections to targets."},
-		{&m.ended, "sprucecrank.gateway.targets.ended", "Sends under which the target's process ended, by service."},
+		{&m.ended, "sprucecrank.gateway.targets.ended", "Sends during which the target's process ended, by service."},
 		{&m.storeCalls, "sprucecrank.gateway.store.calls", "Calls to the store, by watch and result."},
-		{&m.peersLost, "sprucecrank.gateway.peers.lost", "Gateways that did not answer."},
-		{&m.rolloutWrites, "sprucecrank.gateway.rollout.writes", "Writes of rollouts' stages and verdicts by this gateway, by how they ended."},
-		{&m.rolloutReports, "sprucecrank.gateway.rollout.reports", "Reports on rollouts sent to, or received as, the gateway that decides, by way and result."},
-		{&m.quotaAsks, "sprucecrank.gateway.quota.asks", "Questions for credit to the homes of workspaces, by result."},
-		{&m.cut, "sprucecrank.gateway.requests.cut", "Requests that were still under way when the time for a stop ran out."},
+		{&m.peersLost, "sprucecrank.gateway.peers.lost", "Peers lost because they did not answer."},
+		{&m.rolloutWrites, "sprucecrank.gateway.rollout.writes", "Writes of rollout stages and verdicts by this gateway, by outcome."},
+		{&m.rolloutReports, "sprucecrank.gateway.rollout.reports", "Rollout reports that this gateway sent to the deciding gateway, or received as such, by direction and result."},
+		{&m.quotaAsks, "sprucecrank.gateway.quota.asks", "Requests for credit to the quota homes of workspaces, by result."},
+		{&m.cut, "sprucecrank.gateway.requests.cut", "Requests still in flight when the stop timeout expired."},
 	} {
 		counter, err := meter.Int64Counter(c.name, metric.WithDescription(c.help))
 		if err != nil {
@@ -132,7 +134,7 @@
 	return err
 }
 
-// Handler serves the metrics in Prometheus form.
+// Handler serves the metrics in the Prometheus format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
@@ -160,8 +162,8 @@
 	}
 }
 
-// Send counts a send; tier is how far its target is, first says whether it was the
-// first of its request.
+// Send counts a send; tier is the distance tier of its target, first says whether it
+// was the first send of its request.
 func (m *Metrics) Send(service, result, tier string, first bool) {
 	if m != nil {
 		add(m.sends, attribute.String("service", service), attribute.String("result", result),
@@ -176,7 +178,7 @@
 	}
 }
 
-// TargetEnded counts a send under which its target's process ended.
+// TargetEnded counts a send during which its target's process ended.
 func (m *Metrics) TargetEnded(service string) {
 	if m != nil {
 		add(m.ended, attribute.String("service", service))
@@ -197,21 +199,21 @@
 	}
 }
 
-// PeerLost counts a gateway that did not answer.
+// PeerLost counts a peer that was lost because it did not answer.
 func (m *Metrics) PeerLost() {
 	if m != nil {
 		add(m.peersLost)
 	}
 }
 
-// QuotaRequested counts a question for credit to the home of workspaces.
+// QuotaRequested counts a request for credit to the quota home of workspaces.
 func (m *Metrics) QuotaRequested(result string) {
 	if m != nil {
 		add(m.quotaAsks, attribute.String("result", result))
 	}
 }
 
-// Cut counts requests that a stop cut off.
+// Cut counts n requests still in flight when the stop timeout expired.
 func (m *Metrics) Cut(n int64) {
 	if m != nil {
 		m.cut.Add(context.Background(), n)
--- a/internal/gateway/metrics/metrics_test.go
+++ b/internal/gateway/metrics/metrics_test.go
@@ -11,7 +11,7 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/metrics"
 )
 
-func TestWhatAScrapeShows(t *testing.T) {
+func TestScrapeShowsStateAndCounters(t *testing.T) {
 	g := NewWithT(t)
 	m, err := metrics.New(func() metrics.State {
 		return metrics.State{
--- a/internal/gateway/metrics/rollout.go
+++ b/internal/gateway/metrics/rollout.go
@@ -7,34 +7,34 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Rollout is what a gateway shows of a rollout.
+// Rollout is the state of a rollout that a scrape shows.
 type Rollout struct {
 	Service  string
 	Version  string
 	State    string
 	Permille int
-	// Sends are the gateway's own, by version and result, while the rollout runs.
+	// Sends are this gateway's sends by version and result while the rollout runs.
 	Sends []RolloutSends
 }
 
-// RolloutSends are sends to the targets of one side of the comparison.
+// RolloutSends counts the sends to canary or baseline targets with one result.
 type RolloutSends struct {
-	// Canary says that they are of the ordered version, not of the baseline.
+	// Canary says that the targets run the ordered version, not the baseline.
 	Canary bool
-	// Result is failed, slow, or ended for all sends, these among them.
+	// Result is failed, slow, or ended, which counts all sends including the former.
 	Result string
 	Count  uint64
 }
 
-// observeRollouts shows the rollouts that are known.
+// observeRollouts registers the gauges of the known rollouts.
 func observeRollouts(meter metric.Meter, state func() State) error {
 	share, err := meter.Int64ObservableGauge("sprucecrank.gateway.rollout.permille",
-		metric.WithDescription("Share of a service's requests that the ordered version takes, in thousandths, by service, version and state of the rollout."))
+		metric.WithDescription("Share of a service's requests that go to the ordered version, in thousandths, by service, version and state of the rollout."))
 	if err != nil {
 		return err
 	}
 	sends, err := meter.Int64ObservableGauge("sprucecrank.gateway.rollout.sends",
-		metric.WithDescription("Sends of this gateway by which the versions are compared, by service, whether they went to the ordered version, and result."))
+		metric.WithDescription("Sends of this gateway for the comparison of versions, by service, whether they went to the ordered version, and result."))
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// RolloutReport counts a report; way says whether it was sent or received.
+// RolloutReport counts a rollout report; direction says whether it was sent or received.
 func (m *Metrics) RolloutReport(direction, result string) {
 	if m != nil {
 		add(m.rolloutReports, attribute.String("way", direction), attribute.String("result", result))
--- a/internal/gateway/metrics/workspaces.go
+++ b/internal/gateway/metrics/workspaces.go
@@ -9,20 +9,20 @@
 	"github.com/sprucecrank/sprucecrank/core/gateway/workspace"
 )
 
-// maxShownWorkspaces is how many workspaces are shown apart. A scrape stays some
-// kilobytes, however many workspaces there are.
+// maxShownWorkspaces bounds how many workspaces are shown individually, so that a
+// scrape stays at some kilobytes, however many workspaces there are.
 const maxShownWorkspaces = 16
 
-// outcomes are the ways in which requests of a workspace end, as metrics name them.
+// outcomes maps the outcomes of a workspace's requests to their names in metrics.
 var outcomes = map[workspace.Outcome]string{
 	workspace.Served: "served", workspace.OverQuota: "over-quota", workspace.Failed: "failed",
 }
 
-// observeWorkspaces shows how requests of the busiest workspaces ended, and of all others in
-// one sum without a name.
+// observeWorkspaces registers the gauge of requests by workspace and outcome. It shows the
+// busiest workspaces, and all others as one sum without a name.
 func observeWorkspaces(meter metric.Meter, counter *workspace.Counter) error {
 	requests, err := meter.Int64ObservableGauge("sprucecrank.gateway.workspace.requests",
-		metric.WithDescription("Requests since the start by workspace, the busiest and one sum for the others, and how they ended."))
+		metric.WithDescription("Requests since the start by workspace, the busiest ones and one sum for the others, and by outcome."))
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	return err
 }
 
-// Workspace counts a request of a workspace by how it ended.
+// Workspace counts a request of a workspace by its outcome.
 func (m *Metrics) Workspace(name string, o workspace.Outcome) {
 	if m != nil {
 		m.workspaces.Add(name, o)
