--- a/internal/gateway/quota/views_test.go
+++ b/internal/gateway/quota/views_test.go
@@ -65,7 +65,7 @@
 func (v *views) nextNeighbour(i int) (peer member.Box, isSeed bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	peer, ok := v.all[i].Neighbour(time.Now(), peers.OwnHall, func(string) bool { return false })
+	peer, ok := v.all[i].PickNeighbour(time.Now(), peers.OwnHall, func(string) bool { return false })
 	if !ok {
 		return v.fleet.boxes[v.intn(seedBoxes)].box, true
 	}
@@ -82,37 +82,37 @@
 	defer v.mu.Unlock()
 	now := time.Now()
 	if !reached {
-		v.all[i].Fail(now, peer.ID)
+		v.all[i].RecordFailure(now, peer.ID)
 		return
 	}
 	caller, callee := v.all[i], v.all[j]
 	sent, received := caller.Sightings(now, ""), callee.Sightings(now, "")
-	callee.Called(now, sent[0].Box)
-	callee.Sighted(now, sent[1:])
-	caller.Observe(now, received[0].Box)
-	caller.Sighted(now, received[1:])
+	callee.ObserveCall(now, sent[0].Box)
+	callee.MergeSightings(now, sent[1:])
+	caller.ObserveAnswer(now, received[0].Box)
+	caller.MergeSightings(now, received[1:])
 }
 
 func (v *views) first(i, n int) []member.Box {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.all[i].First(time.Now(), n)
+	return v.all[i].TopRanked(time.Now(), n)
 }
 
 func (v *views) size(i int) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.all[i].Size(time.Now())
+	return v.all[i].EstimateFleetSize(time.Now())
 }
 
 func (v *views) ranked(i, n int) []peers.Sighting {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.all[i].Ranked(time.Now(), n)
+	return v.all[i].RankedSightings(time.Now(), n)
 }
 
 func (v *views) mergeSightings(i int, s []peers.Sighting) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.all[i].Sighted(time.Now(), s)
+	v.all[i].MergeSightings(time.Now(), s)
 }
