--- a/internal/gateway/logging/logging_test.go
+++ b/internal/gateway/logging/logging_test.go
@@ -31,7 +31,7 @@
 	return b.text.String()
 }
 
-func TestBlockedOutputDropsLinesWithoutBlockingTheCaller(t *testing.T) {
+func TestBlockedOutputNeverBlocksTheCallerAndDroppedLinesAreReported(t *testing.T) {
 	g := NewWithT(t)
 	out := &blockedWriter{release: make(chan struct{})}
 	w := logging.NewWriter(out, logging.Options{MaxPending: 10, PerSecond: 1e9, Burst: 1 << 30, FlushEvery: time.Millisecond})
