--- a/core/gateway/placement/decide.go
+++ b/core/gateway/placement/decide.go
@@ -135,7 +135,7 @@
 	case RefuseEvacuated:
 		return verdict.New(verdict.NotRun, verdict.ReasonEvacuated, "all targets of the service stand in halls that are evacuated")
 	case RefuseRegion:
-		return verdict.New(verdict.NotRun, verdict.ReasonRegion, "no target of the service stands in a region that the route and the workspace allow")
+		return verdict.New(verdict.NotRun, verdict.ReasonRegionNotAllowed, "no target of the service stands in a region that the route and the workspace allow")
 	case RefuseNoCredit:
 		return NoCreditRefusal(d.availableIn)
 	case RefuseBackOff:
@@ -151,7 +151,7 @@
 // NoCreditRefusal returns the refusal of a request for which no target has credit left
 // under the limit that it advertises; creditIn is the time until there may be some.
 func NoCreditRefusal(creditIn time.Duration) *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.ReasonTargetsSpent, "all targets have got as many requests as the limits allow that they name").
+	return verdict.New(verdict.NotRun, verdict.ReasonTargetLimits, "all targets have got as many requests as the limits allow that they name").
 		WithRetryAfter(creditIn)
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -72,7 +72,7 @@
 	discovery      *discovery.Follower
 	delivery       *delivery.Delivery // nil if the settings configure no rollouts
 	pool           *upstream.Pool
-	responseMemory *upstream.Room // bounds the memory for buffered responses
+	responseMemory *upstream.MemoryBudget // bounds the memory for buffered responses
 	forward        *forward.Handler
 	fatal          *fatal.Register   // requests during which targets ended
 	quota          *quota.Limiter    // requests of workspaces that have limits
@@ -148,8 +148,8 @@
 	g.quota.OnUpdate(g.discovery.Wake)
 	g.signals.OnUpdate(g.discovery.Wake)
 	g.signals.OnLeaving(g.discovery.Drain)
-	g.responseMemory = upstream.NewRoom(responseMemoryLimit(s))
-	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Room: g.responseMemory, Opened: g.metrics.Opened, Log: g.log})
+	g.responseMemory = upstream.NewMemoryBudget(responseMemoryLimit(s))
+	g.pool = upstream.New(upstream.Options{Names: o.Wire.Headers, Clock: o.Clock, Budget: g.responseMemory, Opened: g.metrics.Opened, Log: g.log})
 	g.forward = forward.New(forward.Options{
 		Names: o.Wire.Headers, Places: g.localityMap.Load, Snapshot: g.discovery.Snapshot, Current: g.discovery.Current,
 		Gateways: g.discovery.GatewayCount, Fatal: g.fatal, Quota: g.quota, TrustsKeys: g.trustsKeys,
@@ -226,7 +226,7 @@
 	state := metrics.State{
 		Active: g.forward.Active(), ConfigAge: g.discovery.Age().Seconds(), EvacuatedHalls: g.discovery.EvacuatedHallCount(),
 		AnswerBytes: g.responseMemory.Held(), Quarantined: g.fatal.Quarantined(), LimitedTargets: g.quota.LimitedTargets(),
-		FarServices: g.forward.FarServices(), Trips: g.forward.Trips(),
+		CrossRegionServices: g.forward.FarServices(), RoundTrips: g.forward.Trips(),
 		BackingOff: len(g.signals.BackOffs()), Leaving: g.discovery.Snapshot().Leaving(),
 	}
 	if table := g.discovery.Snapshot().Table(); table != nil {
--- a/internal/gateway/logging/logging_test.go
+++ b/internal/gateway/logging/logging_test.go
@@ -11,32 +11,32 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/logging"
 )
 
-// blocked takes nothing until it is released.
-type blocked struct {
+// blockedWriter is an output that blocks until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    strings.Builder
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *blocked) String() string {
+func (b *blockedWriter) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-func TestABlockedOutputHoldsUpNobodyAndWhatIsDroppedIsSaid(t *testing.T) {
+func TestBlockedOutputNeverBlocksTheCallerAndDroppedLinesAreReported(t *testing.T) {
 	g := NewWithT(t)
-	out := &blocked{release: make(chan struct{})}
-	w := logging.NewWriter(out, logging.Options{Lines: 10, PerSecond: 1e9, Burst: 1 << 30, FlushEvery: time.Millisecond})
+	out := &blockedWriter{release: make(chan struct{})}
+	w := logging.NewWriter(out, logging.Options{MaxPending: 10, PerSecond: 1e9, Burst: 1 << 30, FlushEvery: time.Millisecond})
 	const lines = 1000
-	for range lines { // this returns though nothing is taken
+	for range lines { // must return although the output blocks
 		n, err := w.Write([]byte("{}\n"))
 		g.Expect(n).To(Equal(3))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -48,9 +48,9 @@
 	g.Expect(strings.Count(out.String(), "{}\n")).To(BeNumerically("==", lines-int(w.Dropped())))
 }
 
-func TestARateBoundsTheLines(t *testing.T) {
+func TestLinesBeyondTheRateLimitAreDropped(t *testing.T) {
 	g := NewWithT(t)
-	out := &blocked{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	close(out.release)
 	w := logging.NewWriter(out, logging.Options{PerSecond: 0.001, Burst: 5})
 	for range 100 {
