--- a/internal/gateway/metrics/gauges.go
+++ b/internal/gateway/metrics/gauges.go
@@ -34,7 +34,7 @@
 	if err := g.makeFloats(meter); err != nil {
 		return err
 	}
-	g.dropped, err = meter.Int64ObservableCounter("sprucecrank.gateway.log.dropped", metric.WithDescription("Log lines dropped because of the rate limit or a full buffer."))
+	g.dropped, err = meter.Int64ObservableCounter("sprucecrank.gateway.log.dropped", metric.WithDescription("Log lines that found no room."))
 	return err
 }
 
@@ -45,15 +45,15 @@
 		unit string
 		help string
 	}{
-		{&g.version, "sprucecrank.gateway.config.version", "", "Version of the configuration in force."},
-		{&g.evacuated, "sprucecrank.gateway.halls.evacuated", "", "Evacuated halls, whose targets get no requests, as confirmed config.age ago."},
-		{&g.crossRegion, "sprucecrank.gateway.services.far", "", "Services with requests that are now sent to other regions."},
-		{&g.active, "sprucecrank.gateway.requests.active", "", "Requests in flight."},
-		{&g.quarantined, "sprucecrank.gateway.requests.quarantined", "", "Quarantined requests, which are sent to no target because targets end while serving them; counted by content and caller."},
-		{&g.limited, "sprucecrank.gateway.targets.limited", "", "Targets known to advertise a limit of requests per second."},
-		{&g.backingOff, "sprucecrank.gateway.targets.backing_off", "", "Targets that get no requests because they asked this gateway for back-off."},
-		{&g.leaving, "sprucecrank.gateway.targets.leaving", "", "Targets known to be leaving."},
-		{&g.held, "sprucecrank.gateway.answers.held", "By", "Bytes of answers held in memory on their way to clients."},
+		{&g.version, "sprucecrank.gateway.config.version", "", "The configuration's version in force."},
+		{&g.evacuated, "sprucecrank.gateway.halls.evacuated", "", "Halls whose targets get nothing since they are evacuated, by what was confirmed config.age ago."},
+		{&g.crossRegion, "sprucecrank.gateway.services.far", "", "Services with requests that go to other regions now."},
+		{&g.active, "sprucecrank.gateway.requests.active", "", "Requests under way."},
+		{&g.quarantined, "sprucecrank.gateway.requests.quarantined", "", "Requests that are sent to nobody since targets end under them, by content and caller."},
+		{&g.limited, "sprucecrank.gateway.targets.limited", "", "Targets that are known to name how many requests a second they take."},
+		{&g.backingOff, "sprucecrank.gateway.targets.backing_off", "", "Targets that are sent nothing since they asked this gateway for back-off."},
+		{&g.leaving, "sprucecrank.gateway.targets.leaving", "", "Targets that are known to leave."},
+		{&g.held, "sprucecrank.gateway.answers.held", "By", "Bytes that are held of answers on their way to clients."},
 	} {
 		if *i.set, err = meter.Int64ObservableGauge(i.name, metric.WithUnit(i.unit), metric.WithDescription(i.help)); err != nil {
 			return err
@@ -69,8 +69,8 @@
 		name string
 		help string
 	}{
-		{&g.age, "sprucecrank.gateway.config.age", "Time since the configuration was last confirmed to be the newest."},
-		{&g.roundTrip, "sprucecrank.gateway.region.trip", "Lowest recent round trip time to each region, from connections and probes."},
+		{&g.age, "sprucecrank.gateway.config.age", "How long ago the configuration was confirmed to be the newest."},
+		{&g.roundTrip, "sprucecrank.gateway.region.trip", "Lowest time there and back to each region that connections and probes took lately."},
 	} {
 		if *f.set, err = meter.Float64ObservableGauge(f.name, metric.WithUnit("s"), metric.WithDescription(f.help)); err != nil {
 			return err
--- a/internal/gateway/metrics/metrics.go
+++ b/internal/gateway/metrics/metrics.go
@@ -109,18 +109,18 @@
 		help string
 	}{
 		{&m.requests, "sprucecrank.gateway.requests", "Requests answered, by service and status."},
-		{&m.refusals, "sprucecrank.gateway.refusals", "Requests that the gateway itself refused or failed, by service and reason."},
-		{&m.waits, "sprucecrank.gateway.waits", "Rounds of selection in which a request found no available target, by service."},
-		{&m.sends, "sprucecrank.gateway.sends", "Sends to targets, by service, result, distance tier of the target, and whether it was the first of its request."},
+		{&m.refusals, "sprucecrank.gateway.refusals", "Requests that the gateway itself ended, by service and reason."},
+		{&m.waits, "sprucecrank.gateway.waits", "Rounds in which a request found no target to go to, by service."},
+		{&m.sends, "sprucecrank.gateway.sends", "Sends to targets, by service, result, how far the target is, and whether it was the first of its request."},
 		{&m.checks, "sprucecrank.gateway.checks", "Health checks, by service and result."},
 		{&m.opened, "sprucecrank.gateway.connections.opened", "New connections to targets."},
-		{&m.ended, "sprucecrank.gateway.targets.ended", "Sends during which the target's process ended, by service."},
+		{&m.ended, "sprucecrank.gateway.targets.ended", "Sends under which the target's process ended, by service."},
 		{&m.storeCalls, "sprucecrank.gateway.store.calls", "Calls to the store, by watch and result."},
-		{&m.peersLost, "sprucecrank.gateway.peers.lost", "Peers lost because they did not answer."},
-		{&m.rolloutWrites, "sprucecrank.gateway.rollout.writes", "Writes of rollout stages and verdicts by this gateway, by outcome."},
-		{&m.rolloutReports, "sprucecrank.gateway.rollout.reports", "Rollout reports that this gateway sent to the deciding gateway, or received as such, by direction and result."},
-		{&m.quotaAsks, "sprucecrank.gateway.quota.asks", "Requests for credit to the quota homes of workspaces, by result."},
-		{&m.cut, "sprucecrank.gateway.requests.cut", "Requests still in flight when the stop timeout expired."},
+		{&m.peersLost, "sprucecrank.gateway.peers.lost", "Gateways that did not answer."},
+		{&m.rolloutWrites, "sprucecrank.gateway.rollout.writes", "Writes of rollouts' stages and verdicts by this gateway, by how they ended."},
+		{&m.rolloutReports, "sprucecrank.gateway.rollout.reports", "Reports on rollouts sent to, or received as, the gateway that decides, by way and result."},
+		{&m.quotaAsks, "sprucecrank.gateway.quota.asks", "Questions for credit to the homes of workspaces, by result."},
+		{&m.cut, "sprucecrank.gateway.requests.cut", "Requests that were still under way when the time for a stop ran out."},
 	} {
 		counter, err := meter.Int64Counter(c.name, metric.WithDescription(c.help))
 		if err != nil {
--- a/internal/gateway/metrics/rollout.go
+++ b/internal/gateway/metrics/rollout.go
@@ -29,12 +29,12 @@
 // observeRollouts registers the gauges of the known rollouts.
 func observeRollouts(meter metric.Meter, state func() State) error {
 	share, err := meter.Int64ObservableGauge("sprucecrank.gateway.rollout.permille",
-		metric.WithDescription("Share of a service's requests that go to the ordered version, in thousandths, by service, version and state of the rollout."))
+		metric.WithDescription("Share of a service's requests that the ordered version takes, in thousandths, by service, version and state of the rollout."))
 	if err != nil {
 		return err
 	}
 	sends, err := meter.Int64ObservableGauge("sprucecrank.gateway.rollout.sends",
-		metric.WithDescription("Sends of this gateway for the comparison of versions, by service, whether they went to the ordered version, and result."))
+		metric.WithDescription("Sends of this gateway by which the versions are compared, by service, whether they went to the ordered version, and result."))
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/metrics/workspaces.go
+++ b/internal/gateway/metrics/workspaces.go
@@ -22,7 +22,7 @@
 // busiest workspaces, and all others as one sum without a name.
 func observeWorkspaces(meter metric.Meter, counter *workspace.Counter) error {
 	requests, err := meter.Int64ObservableGauge("sprucecrank.gateway.workspace.requests",
-		metric.WithDescription("Requests since the start by workspace, the busiest ones and one sum for the others, and by outcome."))
+		metric.WithDescription("Requests since the start by workspace, the busiest and one sum for the others, and how they ended."))
 	if err != nil {
 		return err
 	}
