--- a/internal/gateway/forward/caller_test.go
+++ b/internal/gateway/forward/caller_test.go
@@ -228,7 +228,7 @@
 	g.Expect(seen).To(ConsistOf("harbour", "mill"))
 }
 
-// limited is a register of a fleet of one, which is its own home.
+// limited is a limiter of a fleet of one, which is its own home.
 func limited(t *testing.T) *internalquota.Limiter {
 	self := member.Box{ID: "gateway-1", Peer: "127.0.0.1:1"}
 	var read atomic.Bool
--- a/internal/gateway/quota/quota.go
+++ b/internal/gateway/quota/quota.go
@@ -24,7 +24,7 @@
 //
 // # Usage
 //
-//	limiter := quota.New(quota.Options{Self: self, Homes: follower.First, ...})
+//	limiter := quota.New(quota.Options{Self: self, Homes: follower.TopRanked, ...})
 //	follower.Serve(listener, limiter.Service())
 //	credit, failure := limiter.Admit(ctx, workspace, version)
 //	if failure != nil {
--- a/internal/gateway/upstream/upstream.go
+++ b/internal/gateway/upstream/upstream.go
@@ -18,8 +18,8 @@
 //
 //	pool := upstream.New(upstream.Options{Names: names, Clock: time.Now})
 //	pool.SetGate(gate) // called before each write
-//	pool.OnSignals(register.Observe)
-//	pool.OnLimit(quota.ObserveLimit)
+//	pool.OnSignals(registry.Observe)
+//	pool.OnLimit(limiter.ObserveLimit)
 //	conn, failure := pool.Get(ctx, target)
 //	answer, failure := conn.Exchange(ctx, request)
 //	answer.OnEnd(func(*verdict.Error) { pool.Put(conn) })
