--- a/core/gateway/freshness/freshness.go
+++ b/core/gateway/freshness/freshness.go
@@ -13,7 +13,7 @@
 //
 // # Usage
 //
-//	tracker := freshness.New(timing, peers.Before)
+//	tracker := freshness.New(timing, peers.RanksBefore)
 //	tracker.Config().Begin(now)
 //	tracker.RecordAnswer(tracker.Config(), now, "gateway-1")
 //	if tracker.Age(now) > limit {
