--- a/core/gateway/catalog/catalog_test.go
+++ b/core/gateway/catalog/catalog_test.go
@@ -158,7 +158,7 @@
 	g.Expect(c.Position()).To(Equal(catalog.Position{Evacuations: 13, EvacuationsChanged: 12}))
 }
 
-func TestEmptyEvacuationListIsSentToAGatewayWithoutAny(t *testing.T) {
+func TestEmptyEvacuationListIsSentToAGatewayThatLacksTheList(t *testing.T) {
 	g := NewWithT(t)
 	source, peer := catalog.New(), catalog.New()
 	source.ReplaceEvacuations(5, nil)
--- a/core/gateway/catalog/incarnations_test.go
+++ b/core/gateway/catalog/incarnations_test.go
@@ -83,7 +83,7 @@
 
 // A target has advertised that it is leaving, and its entry in the store does not show it, or
 // shows it late.
-func TestMarkLeavingHoldsForTheIncarnation(t *testing.T) {
+func TestMarkLeavingAppliesToOneIncarnationOnly(t *testing.T) {
 	target := incarnation(2, "10.0.0.1:80", false)
 	restarted := incarnation(3, "10.0.0.1:80", false)
 	change := func(c *catalog.Catalog, revision uint64, t catalog.Target, gone bool) {
--- a/core/gateway/changes/changes_test.go
+++ b/core/gateway/changes/changes_test.go
@@ -29,7 +29,7 @@
 	g.Expect(to).To(Equal(log.Position()))
 }
 
-func TestAllChangesAreMissingAtAPositionOfAnotherList(t *testing.T) {
+func TestAllChangesAreMissingAtAPositionOfAnotherLog(t *testing.T) {
 	g := NewWithT(t)
 	log := changes.NewLog(7)
 	log.Next()
--- a/core/gateway/estimate/estimate_test.go
+++ b/core/gateway/estimate/estimate_test.go
@@ -177,7 +177,7 @@
 	g.Expect(s.MostlyIdle()).To(BeFalse())
 }
 
-func TestServiceReportsNoLoadAfterEightProbesWithoutReport(t *testing.T) {
+func TestServiceCountsAsNotReportingLoadAfterEightProbesWithoutReport(t *testing.T) {
 	g := NewWithT(t)
 	s := estimate.New()
 	for range 7 {
--- a/core/gateway/freshness/freshness_test.go
+++ b/core/gateway/freshness/freshness_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestOutageRequiresFailedCalls(t *testing.T) {
+func TestOutageRequiresLongFailureAndKnownTargets(t *testing.T) {
 	for name, c := range map[string]struct {
 		sinceConfirmed time.Duration
 		failing        bool
--- a/core/gateway/reader/reader_test.go
+++ b/core/gateway/reader/reader_test.go
@@ -99,7 +99,7 @@
 }
 
 // However many gateways stop receiving updates together, few read early, and all within the spread.
-func TestFewGatewaysReadEarlyInAnyFleetSize(t *testing.T) {
+func TestFewGatewaysReadBeforeTheyKnowOfTheFirstReadInAnyFleetSize(t *testing.T) {
 	const (
 		spread = 750 * time.Millisecond
 		notice = 50 * time.Millisecond // until all know of the first
