--- a/core/gateway/catalog/incarnations.go
+++ b/core/gateway/catalog/incarnations.go
@@ -7,8 +7,8 @@
 // others have gone, which takes longer than any update is in transit.
 const maxAbsentTargets = 4096
 
-// incarnations holds the latest known incarnation of each target, by its id, and whether that
-// has begun to leave.
+// incarnations holds the latest known incarnation of each target, by the target's id, and
+// whether this incarnation has begun to leave.
 type incarnations map[string]incarnation
 
 type incarnation struct {
--- a/core/gateway/catalog/table.go
+++ b/core/gateway/catalog/table.go
@@ -83,8 +83,8 @@
 	return changed
 }
 
-// advance applies the changes up to a revision. resolve returns the entry to store for one
-// that was received; false means that it is removed.
+// advance applies the changes up to a revision. resolve maps a received entry to the entry
+// to store; if it returns false, the entry is removed from the table.
 func (t *table[E]) advance(revision uint64, changes []entryChange[E], resolve func(E) (E, bool)) (changed bool) {
 	if revision <= t.known {
 		return false
--- a/core/gateway/estimate/estimate.go
+++ b/core/gateway/estimate/estimate.go
@@ -170,7 +170,7 @@
 // ShedShare returns the share of recent sends that targets shed.
 func (s *Service) ShedShare() float64 { return s.shedShare }
 
-// MostlyIdle reports whether the first target probed is usually good enough.
+// MostlyIdle reports whether most of the targets probed recently were idle.
 func (s *Service) MostlyIdle() bool { return s.idleShare > mostlyIdleShare }
 
 // RecordLoadReport records whether the answer to a probe contained a load report.
--- a/core/gateway/estimate/levels.go
+++ b/core/gateway/estimate/levels.go
@@ -27,8 +27,8 @@
 	// initialLastSlotCost is the assumed cost of the last slot before any request used
 	// one. 1.25 gave worse results (docs/DESIGN.md, "Which target").
 	initialLastSlotCost = 1.15
-	// initialColdCost is how much longer requests are assumed to take at a cold target
-	// before any was answered by one. The users' cold targets take twice as long.
+	// initialColdCost is the factor by which requests are assumed to take longer at a cold
+	// target before any was answered by one. The users' cold targets take twice as long.
 	initialColdCost = 2
 	// minLimitGain is by which factor a target must do more work when it is limited to
 	// fewer requests than its slots, for some slots to be left free. Below it, neither
@@ -36,7 +36,8 @@
 	minLimitGain = 1.0
 )
 
-// cost estimates how much longer requests take that start at one level of fullness.
+// cost estimates the factor by which requests that start at one level of fullness take
+// longer.
 type cost struct {
 	factor  float64
 	samples int
--- a/core/gateway/load/load.go
+++ b/core/gateway/load/load.go
@@ -5,9 +5,10 @@
 // dependencies: it does no I/O and reads no clock. core/gateway/placement decides by the
 // predictions.
 //
-// A report matters only for where a request starts. Of 2,918 sends while targets were
-// mostly idle, none that started on a target of usual speed took more than 2.5 times the
-// usual time, except for sends to last slots (docs/DESIGN.md, "Which target").
+// The load of a target when a request starts determines how long the request takes, not
+// what happens at the target later. Of 2,918 sends while targets were mostly idle, none
+// that started on a target of usual speed took more than 2.5 times the usual time, except
+// for sends to last slots (docs/DESIGN.md, "Which target").
 //
 // # Usage
 //
--- a/core/gateway/locality/locality.go
+++ b/core/gateway/locality/locality.go
@@ -1,6 +1,6 @@
 // Package locality classifies halls by how far they are from this gateway: in a fleet
-// that spans regions, a round trip between two of them takes tens of milliseconds, and
-// between two halls of one region less than one.
+// that spans regions, a message from one region to another takes tens of milliseconds one
+// way, and a message between two halls of one region less than one.
 //
 // It owns the tiers into which halls are divided, and the measured round-trip times. The
 // region of each hall comes from the settings; a Map is immutable. The package does no
--- a/core/gateway/peers/neighbour.go
+++ b/core/gateway/peers/neighbour.go
@@ -114,7 +114,8 @@
 	return better < gatewaysLinkingHalls
 }
 
-// linkScore returns the score of a gateway for links between halls, by rendezvous hashing.
+// linkScore returns a hash of a gateway's id (rendezvous hashing). The gateways of a hall
+// with the highest scores keep its links to other halls.
 func linkScore(id string) uint64 { return xxhash.Sum64String("links\x00" + id) }
 
 // ShouldLinkRegions reports whether the gateway should keep a link to another region: it is
@@ -133,7 +134,8 @@
 	return knowsOtherRegion && better < gatewaysLinkingRegions
 }
 
-// regionScore returns the score of a gateway for links between regions.
+// regionScore returns a hash of a gateway's id. The gateways of a region with the highest
+// scores keep its links to other regions.
 func regionScore(id string) uint64 { return xxhash.Sum64String("regions\x00" + id) }
 
 // HasNoUsablePeer reports whether no other gateway is known that may be called now.
@@ -146,8 +148,8 @@
 	return true
 }
 
-// PickLost draws one of the gateways that did not answer and that either no gateway has seen
-// since or that call this one all the same: it may be behind a cut that has healed.
+// PickLost returns a random one of the gateways that did not answer: one that no gateway has
+// seen lately, or that has called this one since. A partition may have ended.
 func (v *View) PickLost(now time.Time) (member.Box, bool) {
 	lost := v.sorted(func(e *entry) bool { return e.lost && (e.called || !e.live(now)) })
 	if len(lost) == 0 {
--- a/core/gateway/peers/sightings.go
+++ b/core/gateway/peers/sightings.go
@@ -82,8 +82,8 @@
 	return from[:n]
 }
 
-// MergeSightings merges the sightings that a peer has sent. Old ones are dropped, and a
-// gateway that is leaving stays so until it restarts.
+// MergeSightings merges the sightings that a peer has sent. Old ones are dropped. A gateway
+// that is known to be leaving counts as leaving until it restarts.
 func (v *View) MergeSightings(now time.Time, sightings []Sighting) {
 	for _, s := range sightings {
 		if s.Ago < sightingTTL {
--- a/core/gateway/placement/order.go
+++ b/core/gateway/placement/order.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// minRegionShare is the share of another region's average number of targets below
-	// which the own region counts as having lost most of its targets, so that other
-	// regions are probed as well. A region this small adds little load to the others; a
-	// region that is merely full never sends to them (docs/design/regions.md).
+	// minRegionShare is a share of the average number of targets in the other regions. If
+	// this gateway's region has fewer targets than that, most of them are assumed to be
+	// lost and other regions are probed as well. A region this small adds little load to
+	// the others; a region that is merely full never sends to them
+	// (docs/design/regions.md).
 	minRegionShare = 1.0 / 3
 	// roundTripTolerance is the difference in round-trip time up to which two regions
 	// count as equally far, so that one region does not receive all the requests.
@@ -49,12 +50,12 @@
 
 // The values of Reach.
 const (
-	// OwnRegionOnly: the own region has enough targets; no others are used.
+	// OwnRegionOnly: this gateway's region has enough targets; no others are used.
 	OwnRegionOnly Reach = iota
-	// FewInRegion: the own region has lost most of its targets, or most of them are cold;
-	// other regions are used as well.
+	// FewInRegion: this gateway's region has lost most of its targets, or most of them are
+	// cold; other regions are used as well.
 	FewInRegion
-	// NoneInRegion: no target of the own region accepts requests.
+	// NoneInRegion: no target of this gateway's region accepts requests.
 	NoneInRegion
 )
 
@@ -78,8 +79,8 @@
 	reach Reach
 }
 
-// NewOrder sorts targets into tiers: the own hall first, with connected targets ahead of
-// others; then the own region; then, if the own region has no targets or has lost most of
+// NewOrder sorts targets into tiers: this gateway's hall first, with connected targets
+// ahead of others; then its region; then, if its region has no targets or has lost most of
 // them, other regions by round-trip time. Within these rules the order is random. Ejected
 // targets are left out unless there are no others. shuffle has the contract of
 // rand.Shuffle.
@@ -116,7 +117,7 @@
 // Reach returns whether targets of other regions are used, and why.
 func (o *Order) Reach() Reach { return o.reach }
 
-// Near returns the targets of the own hall followed by those of the own region.
+// Near returns the targets of this gateway's hall followed by those of its region.
 func (o *Order) Near() []catalog.Target {
 	return append(slices.Clone(o.tiers[locality.OwnHall]), o.tiers[locality.OwnRegion]...)
 }
@@ -131,8 +132,8 @@
 	return n
 }
 
-// addEjected adds the targets that failed, with those of the own hall ranked equal to
-// those of the own region.
+// addEjected adds the targets that failed, with those of this gateway's hall ranked equal
+// to those of its region.
 func (o *Order) addEjected(ejected []catalog.Target, f Filter) {
 	for _, t := range ejected {
 		tier := max(f.Tier(t.Hall), locality.OwnRegion)
@@ -140,7 +141,7 @@
 	}
 }
 
-// limitRegions removes other regions unless the own one has lost most of its targets.
+// limitRegions removes other regions unless this gateway's has lost most of its targets.
 // Cold targets don't count: a region whose targets all restart at once can take few
 // requests yet.
 func (o *Order) limitRegions(f Filter) {
--- a/core/gateway/placement/placement.go
+++ b/core/gateway/placement/placement.go
@@ -10,15 +10,15 @@
 // One search for a target runs in rounds:
 //
 //  1. NewOrder sorts the targets into the order in which they are probed, those of
-//     the own hall first, then those of the own region; Waves splits it into groups that
-//     are probed at once. Other regions are left out unless the own region has no
-//     targets or has lost most of them.
+//     this gateway's hall first, then those of its region; Waves splits it into groups
+//     that are probed at once. Other regions are left out unless this gateway's region
+//     has no targets or has lost most of them.
 //  2. Better selects the best of the targets that answer; an Idle one ends the
 //     round.
 //  3. Decide chooses what is done with the request; Wait starts another round.
 //
-// Other regions are left out while the own region has targets because an answer from
-// there takes a round trip longer, and because a region whose gateways look for free
+// Other regions are left out while this gateway's region has targets because an answer from
+// them takes a round trip longer, and because a region whose gateways look for free
 // slots elsewhere takes them from the gateways there (docs/design/regions.md).
 //
 // Load is probed and not derived from the gateway's own requests because a gateway sends
--- a/core/gateway/placement/probe.go
+++ b/core/gateway/placement/probe.go
@@ -34,8 +34,8 @@
 	// the own hall where answers are long").
 	hallWaitPerKB = 12 * time.Millisecond
 	hallWaitShare = 0.12
-	// regionWaitPerKB and regionWaitShare are the same for a target of the own region
-	// when few of its targets are left: traffic between regions costs more.
+	// regionWaitPerKB and regionWaitShare are the same for a target of this gateway's
+	// region when few of its targets are left: traffic between regions costs more.
 	regionWaitPerKB = 2 * hallWaitPerKB
 	regionWaitShare = 0.2
 
@@ -87,7 +87,8 @@
 	MaxTier locality.Tier
 	// Contended says that requests of the service recently found no target.
 	Contended bool
-	// MostlyIdle says that the first target probed is usually good enough.
+	// MostlyIdle says that most targets probed recently were idle, so that one target at a
+	// time is probed.
 	MostlyIdle bool
 }
 
--- a/core/gateway/quarantine/quarantine.go
+++ b/core/gateway/quarantine/quarantine.go
@@ -41,15 +41,15 @@
 	// beside a fatal one twice, and its caller would be refused.
 	minEndsOfOneCaller = 3
 	// minEndsOfAllCallers is how many must have ended under a request of several callers, none
-	// of which got an answer, to quarantine it for all callers: one more, since that concerns
-	// callers who have never sent it.
+	// of which got an answer, to quarantine it for all callers: one more than
+	// minEndsOfOneCaller, since that concerns callers who have never sent it.
 	minEndsOfAllCallers = 4
 	// minEndsOfSuspect is from how many ends on a request gets no second send: each send might
 	// cost one more target, and few harmless requests get that far.
 	minEndsOfSuspect = 2
 	// lapseAfter is how long after it was last seen a request is forgotten, so that it
 	// may be tried again. If it is still fatal, each try costs three targets; with this
-	// value, these are a few in an hour.
+	// value, there are only a few tries in an hour.
 	lapseAfter = 10 * time.Minute
 	// resendAfter is how much later a request must have been seen for its record to be sent
 	// again: a quarantined request that comes each second is sent each minute.
--- a/core/gateway/quarantine/verdicts.go
+++ b/core/gateway/quarantine/verdicts.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// fatalForAllCallers returns the requests that are quarantined for all callers: targets ended
-// under those of several callers, and no caller has got an answer. verdicts are those on
-// single callers' requests.
+// fatalForAllCallers returns the requests that are quarantined for all callers: at least
+// minEndsOfAllCallers targets ended under the same request of several callers, none of which
+// has got an answer. verdicts are those on single callers' requests.
 func (l *Ledger) fatalForAllCallers(verdicts map[fingerprint.Fingerprint]Verdict) (forAll []suspect) {
 	for _, r := range l.records {
 		all := suspect{record: r, caller: anyCaller}
--- a/core/gateway/quota/members.go
+++ b/core/gateway/quota/members.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// groupKey returns a map key for a list of homes. Their order has no meaning, but is mostly the
-// same.
+// groupKey returns a map key for a list of homes. The same homes in another order, which is
+// rare, give another key; that only adds a group.
 func groupKey(homes []uint32) string {
 	key := make([]byte, 0, 4*len(homes))
 	for _, home := range homes {
@@ -214,9 +214,9 @@
 const maxSampled = 192
 
 // SampleWeight returns how many gateways the given one represents in a fleet of about the given
-// size. In a small fleet each represents itself; in larger ones half of them represent two
-// each, a quarter four, and so on, always the same ones. It is 0 for a gateway that is not
-// sampled.
+// size. In a small fleet each gateway represents itself; in larger fleets half of the gateways
+// represent two each, or a quarter represent four each, and so on. In a fleet of a given size
+// it is always the same gateways. SampleWeight returns 0 for a gateway that is not sampled.
 func SampleWeight(gateway uint32, fleet int) int {
 	interval := sampleIntervalFor(fleet)
 	if !isSampled(gateway, interval) {
--- a/core/gateway/quota/shared.go
+++ b/core/gateway/quota/shared.go
@@ -10,8 +10,9 @@
 
 const (
 	// maxSharedLimits bounds the number of limits that gateways exchange. Limits beyond it are
-	// known only from the targets' own answers: evicting others to make room would have every
-	// answer of these targets sent to the whole fleet.
+	// not exchanged: evicting others to make room would have every answer of these targets sent
+	// to the whole fleet. A gateway learns such a limit from an answer of the target, or from
+	// the home when it asks for credit.
 	maxSharedLimits = 256
 	// maxUpdates bounds the limits in one message.
 	maxUpdates = 32
--- a/core/gateway/reader/reader_test.go
+++ b/core/gateway/reader/reader_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// However many gateways stop receiving updates together, few read early, and all within the spread.
+// However many gateways stop receiving updates together, few read before they know of the
+// first read, and all within the spread.
 func TestFewGatewaysReadBeforeTheyKnowOfTheFirstReadInAnyFleetSize(t *testing.T) {
 	const (
 		spread = 750 * time.Millisecond
--- a/core/gateway/reader/tries.go
+++ b/core/gateway/reader/tries.go
@@ -28,9 +28,10 @@
 // Try is an attempt of a gateway to read the store on behalf of all whose state is out of
 // date. Gateways send it to each other by net/rpc.
 type Try struct {
-	// ID is the gateway's, and Number increases with each of its tries: the time when the
-	// try began, in Unix nanoseconds by the gateway's own clock. It gives the tries of all
-	// gateways the same order everywhere, however long updates about them are in transit.
+	// ID identifies the gateway, and Number increases with each of its tries: the time when
+	// the try began, in Unix nanoseconds by the gateway's own clock. It gives the tries of
+	// all gateways the same order everywhere, however long updates about them are in
+	// transit.
 	ID     string
 	Number int64
 	// Ago is how long ago it began.
--- a/core/gateway/refusal/refusal.go
+++ b/core/gateway/refusal/refusal.go
@@ -1,6 +1,6 @@
-// Package refusal decides what answer a request gets that is abandoned: a failure that a
-// target answered or one of the gateway's own, with which verdict and reason, and when
-// the client should retry.
+// Package refusal decides how the gateway answers a request for which no further target is
+// tried: with a failure that a target answered or one of the gateway's own, with which
+// verdict and reason, and when the client should retry.
 //
 // It owns that rule, which guarantees the meaning of "not run": a request of which any
 // send may have run is never refused as not run, whatever failed last. It depends on
@@ -37,10 +37,10 @@
 	// maxAvailableIn bounds how long a client is asked to wait for targets that accept no
 	// requests for a long time: others may be added in the meantime.
 	maxAvailableIn = time.Minute
-	// immediateMin and immediateSpread determine when a client should retry whose request
-	// was shed although other targets have free slots: spread enough that simultaneous
-	// requests don't return together, and soon enough not to reduce the time left within
-	// the objective noticeably. The range is the time of a few probes.
+	// immediateMin and immediateSpread determine the pause of a client whose request was
+	// shed although other targets have free slots: spread enough that simultaneous requests
+	// don't return together, and short enough not to reduce the time left within the
+	// objective noticeably. The range is the time of a few probes.
 	immediateMin    = 5 * time.Millisecond
 	immediateSpread = 20 * time.Millisecond
 	// maxImmediateShedShare is the share of sends shed from which immediate retries would
@@ -59,9 +59,9 @@
 	return failure.Reason() != verdict.ReasonClientGone
 }
 
-// Ending describes a request that is abandoned.
+// Ending describes a request for which no further target is tried.
 type Ending struct {
-	// Failure is the reason for abandoning the request.
+	// Failure is the reason why no further target is tried.
 	Failure *verdict.Error
 	// Last is the failure of its last send; nil if there was none.
 	Last *verdict.Error
@@ -72,7 +72,7 @@
 	RetryAfter time.Duration
 }
 
-// Final returns the answer to a request that is abandoned.
+// Final returns the answer to a request for which no further target is tried.
 func Final(e Ending) *verdict.Error {
 	switch {
 	case e.Failure.Reason() == verdict.ReasonClientGone:
--- a/core/gateway/retry/hedge.go
+++ b/core/gateway/retry/hedge.go
@@ -13,9 +13,9 @@
 	RetryBudgetShare = 1.0
 	HedgeBudgetShare = 0.7
 	// overdueFactor is how many times its predicted time a first send may take before its
-	// target is assumed to be lost. None of 2,918 sends of a quiet day to targets of
-	// usual speed took longer, except for sends to last slots (docs/DESIGN.md, "Which
-	// target").
+	// target is assumed to be lost. Of 2,918 sends while targets were mostly idle, none to
+	// a target of usual speed took longer, except for sends to last slots (docs/DESIGN.md,
+	// "Which target").
 	overdueFactor = 2.5
 	// hedgeMinTimeFactor is how many times its usual time a hedge should have left of the
 	// objective, and hedgeMinDelayFactor how many times its usual time the first send
@@ -43,8 +43,8 @@
 }
 
 // HedgeDelay returns how long a send may take before a hedge is sent, and whether a hedge
-// may be sent at all. The delay is as long as still lets a hedge answer within the
-// objective, but not shorter than the time after which the first send is late.
+// may be sent at all. The delay is the longest that leaves a hedge enough time to answer
+// within the objective, but not shorter than the time after which the first send is late.
 func HedgeDelay(f FirstSend) (time.Duration, bool) {
 	if !f.Repeatable || f.Objective <= 0 || f.Sends+1 >= f.MaxAttempts {
 		return 0, false
@@ -66,8 +66,8 @@
 	return took > scale(overdueFactor, predicted)
 }
 
-// MayHedge reports whether a target for a hedge should be searched for now: not while
-// requests without any target are waiting, unless the first send is overdue.
+// MayHedge reports whether the gateway should now search for a target for a hedge. While
+// other requests wait for their first target, it should only if the first send is overdue.
 func MayHedge(contended, overdue bool) bool { return !contended || overdue }
 
 // SuitsHedge reports whether a hedge may go to a target: an idle one, which the hedge
--- a/core/gateway/rollout/analysis.go
+++ b/core/gateway/rollout/analysis.go
@@ -24,10 +24,10 @@
 	// urgentRollbackRatio replaces rollbackRatio where the time for rolling back a bad
 	// version is running out.
 	urgentRollbackRatio = 500
-	// acceptRatio is how much likelier the counts must be for a version as good as the
-	// baseline than for a bad one before the version gets all requests: at most 1 in 20 bad
-	// versions does. stageAcceptRatio is the limit where only the counts of the latest
-	// stage are used.
+	// acceptRatio is the likelihood ratio of the counts, for a version as good as the
+	// baseline against a bad one, that a version must reach before it gets all requests: at
+	// most 1 in 20 bad versions reaches it. stageAcceptRatio is the limit where only the
+	// counts of the latest stage are used.
 	acceptRatio      = 20
 	stageAcceptRatio = 200
 	// routeAcceptRatio is the limit for each route before the version is completed, five
--- a/core/gateway/rollout/assign.go
+++ b/core/gateway/rollout/assign.go
@@ -56,8 +56,8 @@
 // canarySize returns how many of a version's targets take its share.
 func canarySize(permille, targets int) int { return (permille*targets + FullShare - 1) / FullShare }
 
-// rank orders targets by a hash of their id with the order (rendezvous hashing), the same
-// on all gateways.
+// rank sorts targets by a hash of the rollout's service and version and the target's id
+// (rendezvous hashing), so that all gateways get the same result.
 func rank(r catalog.Rollout, targets []catalog.Target) []catalog.Target {
 	score := func(t catalog.Target) uint64 {
 		return xxhash.Sum64String(r.Service + "\x00" + r.Version + "\x00" + t.ID)
--- a/core/gateway/rollout/evidence.go
+++ b/core/gateway/rollout/evidence.go
@@ -136,7 +136,7 @@
 // Evidence is the sum of all reports.
 type Evidence struct {
 	// Routes are the counts of all gateways since the order. Slices divide them by time,
-	// the latest first: a version may turn bad late, and a temporary disturbance of both
+	// the latest first: a version may become bad late, and a temporary disturbance of both
 	// versions shows only in the slices of its time. The oldest slice also holds what
 	// gateways had counted before their first reports.
 	Routes Routes
--- a/core/gateway/rollout/stages.go
+++ b/core/gateway/rollout/stages.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// rampStart is the share of an order's time after which the first share grows: a
-	// version may turn bad some seconds after its start, and costs little if it does so
-	// before the ramp. The rest of the time, which is more than the other stages need, is a
-	// reserve for delays such as an unreachable store.
+	// rampStart is the fraction of an order's time after which the canary's share of the
+	// requests may grow beyond that of the first stage: a version may become bad some
+	// seconds after its start, and costs little if it does so before the ramp. The rest of
+	// the time, which is more than the other stages need, is a reserve for delays such as an
+	// unreachable store.
 	rampStart = 0.55
 	// firstStageBudget and middleStageBudget are the shares of a bad version's allowed
 	// exposure that the first and the middle stage use. The rest is left for a version that
-	// turns bad in the last stage: with a quarter for each, such a version exceeded its
+	// becomes bad in the last stage: with a quarter for each, such a version exceeded its
 	// exposure in simulations where the order gives 12 s.
 	// TestExposureIsBoundedWheneverAVersionTurnsBad checks the total.
 	firstStageBudget  = 0.1
@@ -39,7 +40,7 @@
 	// defaultDrainWait is how long the last stage waits for gateways that don't report and
 	// sends that don't end, where no Limits.DrainWait is given.
 	defaultDrainWait = 30 * time.Second
-	// stopDelay is the time from when a version turns bad to the last request sent to it: a
+	// stopDelay is the time from when a version becomes bad to the last request sent to it: a
 	// response, a report, a write to the store, its update. uncountedDelay is the part of
 	// it in which requests are sent that are not counted yet: half of the report interval,
 	// the write, its update.
--- a/core/gateway/rollout/table_test.go
+++ b/core/gateway/rollout/table_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// Whenever a version turns bad, it gets no more than its allowed exposure before it is
+// Whenever a version becomes bad, it gets no more than its allowed exposure before it is
 // rolled back.
 func TestExposureIsBoundedWheneverAVersionTurnsBad(t *testing.T) {
 	n := max(*runsPerRow/4, 1)
--- a/core/gateway/rollout/versions.go
+++ b/core/gateway/rollout/versions.go
@@ -22,9 +22,9 @@
 	// retired are the targets that a completed rollout replaced. Later targets of their
 	// version may be added in other ways and are treated like any others.
 	retired map[catalog.Life]bool
-	// firstSeen holds, for each target of a new version, the revision up to which targets
-	// were known when it was first seen. The target takes no requests until orders are
-	// known up to that revision.
+	// firstSeen holds, for each target of a new version, the revision of the latest known
+	// change of any target (catalog.Position.Changed) at the moment when this one was first
+	// seen. It takes no requests until orders are known up to that revision.
 	firstSeen map[catalog.Life]uint64
 }
 
@@ -127,9 +127,8 @@
 	return !s.serving[version] && len(s.serving) > 0
 }
 
-// observe records the revision up to which targets were known when those of new versions
-// were first seen, and which versions are in service: those for which no order can be
-// missing.
+// observe fills firstSeen for the targets of new versions, and records which versions are
+// in service: those for which no order can be missing.
 func (s *serviceVersions) observe(targets []catalog.Target, position catalog.Position) {
 	firstSeen := map[catalog.Life]uint64{}
 	for _, t := range targets {
--- a/core/gateway/routing/routing.go
+++ b/core/gateway/routing/routing.go
@@ -150,7 +150,7 @@
 // Version is the configuration's version.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits returns the bounds on clients.
+// Limits returns the limits on what clients may send and how long they may take.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Service returns a service by name.
@@ -159,7 +159,7 @@
 	return s, ok
 }
 
-// Workspaces returns those whose keys are accepted; nil where no key is required.
+// Workspaces returns the workspaces whose keys are accepted; nil where no key is required.
 func (t *Table) Workspaces() *workspace.Directory { return t.workspaces }
 
 // Regions lists the regions that any route or workspace names, sorted.
--- a/core/gateway/signal/board.go
+++ b/core/gateway/signal/board.go
@@ -68,8 +68,8 @@
 	leavingVersion uint64
 }
 
-// remaining returns for how much longer the target asks enough gateways for back-off; 0
-// if it does not.
+// remaining returns for how much longer back-off that the target requested applies at
+// quorum gateways; 0 if it applies at fewer.
 func (s *targetSignals) remaining(now time.Time) time.Duration {
 	if len(s.backOffs) < quorum {
 		return 0
@@ -87,8 +87,8 @@
 	cachedAvoided avoidedSet
 }
 
-// avoidedSet holds the targets that ask enough gateways for back-off, at a version of the
-// board and until a time.
+// avoidedSet holds the targets whose back-off applies at quorum gateways, at a version of
+// the board and until a time.
 type avoidedSet struct {
 	version uint64
 	until   time.Time
@@ -165,8 +165,8 @@
 	return true
 }
 
-// BackOffRemaining returns for how much longer a target asks enough gateways for
-// back-off; 0 if it does not.
+// BackOffRemaining returns for how much longer back-off that a target requested applies at
+// quorum gateways; 0 if it applies at fewer.
 func (b *Board) BackOffRemaining(now time.Time, life catalog.Life) time.Duration {
 	s := b.targets[life]
 	if s == nil {
@@ -175,9 +175,9 @@
 	return s.remaining(now)
 }
 
-// Avoided returns the targets that all gateways avoid because these asked enough of them
-// for back-off; nil if they are too large a share of the given targets, which serve in
-// place of each other. The result must not be modified.
+// Avoided returns the targets that all gateways avoid because these asked at least quorum
+// gateways for back-off; nil if they are too large a share of the given targets, which
+// serve in place of each other. The result must not be modified.
 func (b *Board) Avoided(now time.Time, targets []catalog.Target) map[catalog.Life]bool {
 	asking := b.askingForBackOff(now)
 	if len(asking) == 0 {
@@ -195,8 +195,8 @@
 	return asking
 }
 
-// askingForBackOff returns all targets that ask enough gateways for back-off. The result
-// is cached until the board changes or the first of the back-offs ends.
+// askingForBackOff returns all targets whose back-off applies at quorum gateways. The
+// result is cached until the board changes or the first of the back-offs ends.
 func (b *Board) askingForBackOff(now time.Time) map[catalog.Life]bool {
 	if cached := b.cachedAvoided; cached.version == b.log.Version() && now.Before(cached.until) {
 		return cached.lives
--- a/core/gateway/warmup/warmup.go
+++ b/core/gateway/warmup/warmup.go
@@ -51,7 +51,7 @@
 // Share holds the figures from which this gateway's share is computed.
 type Share struct {
 	// PerSecond is how many requests a second one cold target can handle; 0 if not
-	// configured, so that reports alone decide.
+	// configured, so that only the targets' reports limit the requests to cold targets.
 	PerSecond float64
 	// Cold is the number of cold targets of the service, and Gateways the number of
 	// gateways.
