--- a/box/peer/peer.go
+++ b/box/peer/peer.go
@@ -49,11 +49,17 @@
 	Kind    string
 	Weight  int
 	// Remaining is the time to the deadline; clocks of boxes are not compared.
-	Remaining   time.Duration
+	Remaining time.Duration
+	// LongestWait bounds the time in the queue of the home.
 	LongestWait time.Duration
-	Usual       time.Duration
-	Avoid       []string
-	SpareOnly   bool
+	// Usual is the duration to expect of a request of the kind as long as the home has
+	// observed none.
+	Usual time.Duration
+	// Avoid lists targets of which no slot must be granted, such as those that the
+	// request was already sent to.
+	Avoid []string
+	// SpareOnly refuses the request if no slot is free, instead of queueing it.
+	SpareOnly bool
 	// Count is how many slots are requested; currently always 1.
 	Count int
 }
--- a/cmd/sprucecrank-gateway/main.go
+++ b/cmd/sprucecrank-gateway/main.go
@@ -75,7 +75,7 @@
 
 func parseSettings(raw []byte, err error) (gateway.Settings, error) {
 	if err != nil {
-		return gateway.Settings{}, fmt.Errorf("the settings file that %s names can't be read: %w", platform.SettingsVariable, err)
+		return gateway.Settings{}, fmt.Errorf("cannot read the settings file given by %s: %w", platform.SettingsVariable, err)
 	}
 	return gateway.ParseSettings(raw)
 }
--- a/core/gateway/snapshot/snapshot.go
+++ b/core/gateway/snapshot/snapshot.go
@@ -68,9 +68,9 @@
 // Targets returns the targets of a service that take new requests.
 func (s *Snapshot) Targets(service string) []catalog.Target { return s.targets[service] }
 
-// Evacuated returns the number of targets of a service that take no requests since their
-// halls are evacuated.
-func (s *Snapshot) Evacuated(service string) int { return s.evacuated[service] }
+// EvacuatedCount returns the number of targets of a service that take no requests because
+// their halls are evacuated.
+func (s *Snapshot) EvacuatedCount(service string) int { return s.evacuated[service] }
 
 // Rollout returns the assignment of a service's rollout; false if none is active.
 func (s *Snapshot) Rollout(service string) (rollout.Assignment, bool) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -109,6 +109,7 @@
 func (g *Gateway) bootClock() func() time.Time {
 	clock, err := boottime.New()
 	if err != nil {
+		// The clock is usable, but stops while the machine is suspended.
 		g.log.Warn("suspended time is not counted", "error", err.Error())
 	}
 	clock.OnResume(g.onResume)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -21,13 +21,13 @@
 	cleanupInterval = time.Second
 )
 
-// Shares of the time for a shutdown (stop_within_s).
+// Phases of a shutdown, as shares of the time within which it must end (stop_within_s).
 const (
-	// acceptShare is the share during which new requests are still served, since clients
-	// may not have noticed the shutdown yet. The users' platform notices it within seconds.
+	// acceptShare is how long new requests are still served, since clients may not have
+	// noticed the shutdown yet. The users' platform notices it within seconds.
 	acceptShare = 0.5
-	// forcedStopShare is the share after which the process exits even with requests in
-	// flight, since it is killed at the end of the time.
+	// forcedStopShare is when the process exits even with requests in flight, since it is
+	// killed at the end of the time.
 	forcedStopShare = 0.9
 )
 
--- a/gateway/timing.go
+++ b/gateway/timing.go
@@ -28,8 +28,9 @@
 
 const (
 	// watchShare is how long a watch waits for changes, as a share of the time for which
-	// a watch without a response may be trusted (watch_trust_s). With one of 4.5 s, the
-	// rule on configurations was broken on two days (docs/INCIDENTS.md).
+	// a watch without a response may be trusted (watch_trust_s). With a wait of 4.5 s, a
+	// watch waited through a loss of the store's history, and the rule on configurations
+	// was broken on two days (docs/INCIDENTS.md).
 	watchShare = 0.8
 	// restoreShare is the share of watch_trust_s after an outage of the store by whose end
 	// targets are read again, however late entries may reappear: once watch_trust_s is
--- a/internal/box/grant/grant.go
+++ b/internal/box/grant/grant.go
@@ -35,8 +35,9 @@
 	maxHomes        = 3
 	returnQueueSize = 8192
 	maxReturnBatch  = 64
-	// recentUse is how long after its last request for a slot a home still receives
-	// the list of grants that the box holds.
+	// recentUse is how long a home counts as recently used after the box last requested
+	// a slot from it. Such a home receives the list of grants that the box holds, even
+	// if the list is empty.
 	recentUse = 5 * time.Second
 
 	reconcileTimeout = time.Second
@@ -47,8 +48,11 @@
 	Service *policy.Service
 	Kind    *policy.Kind
 	// Deadline is when the client no longer needs the answer.
-	Deadline  time.Time
-	Avoid     []string
+	Deadline time.Time
+	// Avoid lists targets of which no slot must be granted, such as those that the
+	// request was already sent to.
+	Avoid []string
+	// SpareOnly requests a slot only if one is free, without queueing.
 	SpareOnly bool
 }
 
--- a/internal/gateway/delivery/due.go
+++ b/internal/gateway/delivery/due.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// reportInterval is the shortest time between two reports of a gateway on a rollout. A
-	// small part of the seconds within which a bad version must be stopped.
+	// reportInterval is the shortest time between two reports of a gateway on a rollout. It
+	// is a small part of the seconds within which a bad version must be stopped.
 	reportInterval = 250 * time.Millisecond
 	// maxReportsPerSecond bounds the reports that the decider receives: in a large fleet,
 	// the interval exceeds reportInterval. Each report costs the decider some tens of
@@ -25,15 +25,15 @@
 	maxMissedReports = 3
 )
 
-// intervalFor returns the shortest time between two reports of a gateway, by the number of
-// gateways that report. The decider sends it to the others, since these know the size of a
-// large fleet only roughly.
+// intervalFor returns the shortest time between two reports of a gateway. It depends on the
+// number of gateways that report. The decider sends the interval to the others, since these
+// know the size of a large fleet only roughly.
 func intervalFor(reporting int) time.Duration {
 	return max(reportInterval, time.Duration(reporting)*time.Second/maxReportsPerSecond)
 }
 
-// reachableWindow returns for how long after its latest report a gateway counts as running,
-// by the number of gateways that report.
+// reachableWindow returns how long a gateway counts as running after its latest report. It
+// depends on the number of gateways that report.
 func reachableWindow(reporting int) time.Duration {
 	return maxMissedReports * max(keepaliveInterval, intervalFor(reporting))
 }
--- a/internal/gateway/delivery/log.go
+++ b/internal/gateway/delivery/log.go
@@ -5,12 +5,13 @@
 	"github.com/sprucecrank/sprucecrank/internal/gateway/discovery"
 )
 
-// logDeleted logs that an order no longer exists.
+// logDeleted logs that a rollout no longer exists, because its order was deleted.
 func (d *Delivery) logDeleted(c *trackedRollout) {
 	d.options.Log.Info("rollout gone", "service", c.order.Service, "version", c.order.Version, "state", c.order.State.String())
 }
 
-// logWrite logs how a write ended, and the evidence for its decision.
+// logWrite logs how the write of a rollout's state ended, and the evidence for the decision
+// that it records.
 func (d *Delivery) logWrite(w write, record discovery.RecordResult, err error) {
 	r := w.rollout
 	common := []any{"service", r.Service, "version", r.Version, "state", r.State.String(), "permille", r.Permille, "age_s", r.Elapsed.Seconds()}
--- a/internal/gateway/discovery/draw.go
+++ b/internal/gateway/discovery/draw.go
@@ -17,9 +17,10 @@
 	neighbourKeepTime = 9 * time.Second
 	// otherHallFactor is how much longer neighbours in other halls are kept, and how much
 	// less often members are exchanged with them: traffic between halls is charged for.
-	// Polls wait as long as within a hall: with three times that, state in other halls than
-	// the reader's became so old in transit that standbys read the store (24 gateways, half
-	// a minute without changes: 106 calls to the store instead of 66).
+	// It does not apply to the wait of polls, which is the same between halls as within
+	// one. When that wait was tripled as well, state became so old on its way from the
+	// reader's hall to others that standbys there read the store (24 gateways, half a
+	// minute without changes: 106 calls to the store instead of 66).
 	otherHallFactor = 3
 	// initialKeepTime replaces neighbourKeepTime during the initialPeriod after a gateway's
 	// start, while it knows few others.
--- a/internal/gateway/discovery/evacuation_test.go
+++ b/internal/gateway/discovery/evacuation_test.go
@@ -225,14 +225,14 @@
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "far"))
 	s.evacuate("hall-1", true)
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1"))
-	g.Expect(gw.Snapshot().Evacuated("shop")).To(Equal(1))
+	g.Expect(gw.Snapshot().EvacuatedCount("shop")).To(Equal(1))
 	g.Expect(gw.log.String()).To(ContainSubstring(`msg="evacuations changed" halls=[hall-1]`))
 	late := startWithEvacuations(t, "late", &access{store: s}, nil)
 	g.Eventually(late.Ready(), eventual).Should(BeClosed())
 	g.Expect(late.targets()).To(ConsistOf("s1"), "a gateway that starts knows of it from the first request on")
 	s.evacuate("hall-1", false)
 	g.Eventually(gw.targets, eventual).Should(ConsistOf("s1", "far"))
-	g.Expect(gw.Snapshot().Evacuated("shop")).To(BeZero())
+	g.Expect(gw.Snapshot().EvacuatedCount("shop")).To(BeZero())
 }
 
 // startWithEvacuations starts a gateway that follows evacuations.
--- a/internal/gateway/discovery/exchange.go
+++ b/internal/gateway/discovery/exchange.go
@@ -47,7 +47,7 @@
 	return reply, f.applyReply(peer, reply)
 }
 
-// agedBy returns an age after some more time has passed.
+// agedBy returns an age after some more time has passed. freshness.Never remains unchanged.
 func agedBy(age, later time.Duration) time.Duration {
 	if age == freshness.Never {
 		return age
--- a/internal/gateway/discovery/rollout.go
+++ b/internal/gateway/discovery/rollout.go
@@ -2,17 +2,17 @@
 
 import "github.com/sprucecrank/sprucecrank/core/gateway/catalog"
 
-// VersionTargets describes the targets of a service by whether they run the version that a
-// rollout orders.
+// VersionTargets counts the targets of a rollout's service that may take requests. Targets
+// of the rollout's version are counted apart from those of other versions.
 type VersionTargets struct {
-	// OnTrial says that the ordered version is not the one in service.
+	// OnTrial says that the rollout's version is not the one in service.
 	OnTrial bool
-	// Baseline and Canary are the numbers of targets of other versions and of the ordered
-	// version that may take requests, and Warm is the number of the latter that are not
-	// cold.
+	// Baseline is the number of targets of other versions.
 	Baseline int
-	Canary   int
-	Warm     int
+	// Canary is the number of targets of the rollout's version.
+	Canary int
+	// Warm is the number of targets of the rollout's version that are not cold.
+	Warm int
 }
 
 // VersionTargets counts the known targets of a rollout's service.
--- a/internal/gateway/discovery/serve.go
+++ b/internal/gateway/discovery/serve.go
@@ -16,8 +16,8 @@
 	fullDeltaInterval = 8 * time.Millisecond
 	// staleCheckInterval is the time between two checks of a waiting request whose caller's
 	// state has become stale. This gateway's state may have become fresher without a
-	// wake-up of the waiting requests, and the gain that is worth a reply decreases with
-	// the caller's age.
+	// wake-up of the waiting requests. Also, the older the caller's state becomes, the
+	// smaller is the reduction of its age that justifies a reply.
 	staleCheckInterval = 20 * time.Millisecond
 )
 
@@ -36,7 +36,8 @@
 	Methods any
 }
 
-// Serve answers other gateways, also with further services, until the listener is closed.
+// Serve answers calls of other gateways until the listener is closed. It registers the
+// services in more beside that of the exchange.
 func (f *Follower) Serve(l net.Listener, more ...Service) error {
 	server := rpc.NewServer()
 	for _, s := range append([]Service{{Name: serviceName, Methods: &methods{follower: f}}}, more...) {
--- a/internal/gateway/discovery/source.go
+++ b/internal/gateway/discovery/source.go
@@ -114,10 +114,11 @@
 	return s
 }
 
-// followsRollouts reports whether rollouts may be ordered.
+// followsRollouts reports whether the source provides rollouts, which gateways then follow.
 func (s Source) followsRollouts() bool { return s.Rollouts != nil }
 
-// followsEvacuations reports whether halls may be evacuated.
+// followsEvacuations reports whether the source provides evacuations, which gateways then
+// follow.
 func (s Source) followsEvacuations() bool { return s.Evacuations != nil }
 
 // Errors of a Source; any other error counts as ErrUnavailable.
--- a/internal/gateway/discovery/updates.go
+++ b/internal/gateway/discovery/updates.go
@@ -49,8 +49,8 @@
 	return strings.Join(append([]string{formatPosition(h.fatal)}, h.updates...), positionMark)
 }
 
-// reply formats the positions for a reply: as an empty text if there are no updates, which
-// is the usual case.
+// reply formats the positions for a reply. It returns the empty string if there are no
+// updates, which is the usual case.
 func (h positions) reply() string {
 	if text := h.String(); strings.Trim(text, positionMark) != "" {
 		return text
@@ -72,8 +72,8 @@
 	return positions{fatal: at.fatal, updates: updates}
 }
 
-// formatPosition formats a position for a message; the position of an empty list, which is
-// the usual one, is an empty text.
+// formatPosition formats a position for a message. It returns the empty string for the
+// position of an empty list, which is the usual one.
 func formatPosition(at changes.Position) string {
 	if at == (changes.Position{}) {
 		return ""
--- a/internal/gateway/forward/place.go
+++ b/internal/gateway/forward/place.go
@@ -66,7 +66,7 @@
 	known := believed.Targets(req.service)
 	allowed := b.places.allowed(req, known)
 	state := placement.State{
-		Now: now, Deadlines: deadlines, Targets: len(allowed), RegionDisallowed: len(known) - len(allowed), Evacuated: believed.Evacuated(req.service),
+		Now: now, Deadlines: deadlines, Targets: len(allowed), RegionDisallowed: len(known) - len(allowed), Evacuated: believed.EvacuatedCount(req.service),
 		MaxTier: within, Yield: svc.yields(now, req.priority()),
 	}
 	closed := b.countClosed(req, allowed)
--- a/internal/gateway/quota/strategies_test.go
+++ b/internal/gateway/quota/strategies_test.go
@@ -18,9 +18,9 @@
 	at    time.Time
 }
 
-// localBuckets enforces a limit in another way, for comparison: each gateway admits an equal
-// share of it, by the number of gateways, and asks no other. depth is the depth of each bucket,
-// in requests.
+// localBuckets is a strategy for comparison, in which gateways do not communicate: each one
+// admits requests by its own bucket, at the limit divided by the number of gateways. depth is
+// the depth of each bucket, in requests.
 func localBuckets(target *limitedTarget, rate, depth float64) func(context.Context, *quota.Limiter) bool {
 	var mu sync.Mutex
 	buckets := map[*quota.Limiter]*localBucket{}
--- a/internal/gateway/quota/targets.go
+++ b/internal/gateway/quota/targets.go
@@ -24,8 +24,8 @@
 	sharingTTL = time.Minute
 	// minLoggedChange is the smallest relative change of a limit that is logged.
 	minLoggedChange = 0.2
-	// targetTTL is how long a target is kept after its last use. By then it is gone, or a probe
-	// reports its limit again.
+	// targetTTL is how long a target is kept after this gateway last came upon it. By then it is
+	// gone, or a probe reports its limit again.
 	targetTTL = 10 * time.Minute
 	// liftedTTL is the same for a target whose limit was lifted, and which may advertise one
 	// again.
@@ -37,8 +37,10 @@
 	life catalog.Life
 	// subject includes the incarnation: a target that was restarted has not advertised anything
 	// yet.
-	subject  quota.Subject
-	known    quota.KnownLimit
+	subject quota.Subject
+	known   quota.KnownLimit
+	// lastUsed is when this gateway last came upon the target: when it was to send it a request,
+	// or received its limit from it or from another gateway.
 	lastUsed time.Time
 	// loggedRate is the limit that was logged last.
 	loggedRate float64
@@ -102,8 +104,8 @@
 	return t
 }
 
-// touch records that a target is in use, which extends the exchange of its limit. The lock is
-// held.
+// touch records that this gateway came upon a target, which extends the exchange of limits. The
+// lock is held.
 func (l *Limiter) touch(t *target) {
 	t.lastUsed = l.options.Clock()
 	l.sharingUntil = t.lastUsed.Add(sharingTTL)
@@ -156,8 +158,9 @@
 }
 
 // SharingLeft returns for how much longer gateways exchange limits of targets; 0 if they don't.
-// Meanwhile every gateway must send heartbeats to the homes, whether it uses such a target or
-// not: homes grant the share of a limit that belongs to the gateways that use them.
+// Meanwhile every gateway must send heartbeats to the homes, even if it has not encountered such
+// a target: a home grants the share of a limit that corresponds to the gateways that use it as
+// their home, and it knows these by their heartbeats.
 func (l *Limiter) SharingLeft() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/quota/targets_test.go
+++ b/internal/gateway/quota/targets_test.go
@@ -21,8 +21,9 @@
 
 // The users' requirement for a target that advertises a limit: from limitSettling after it
 // first did, no limitWindow contains more requests than limitFactor times what the limit
-// allows, plus limitSlack. Only requests of gateways count that were informed of the limit at
-// least limitGrace before, which is also the time that they have to apply a lower limit.
+// allows, plus limitSlack. If probes don't contain the limit, a gateway's requests count only
+// from limitGrace after it was informed of the limit. Gateways have the same time to apply a
+// lower limit.
 const (
 	limitSettling = 3 * time.Second
 	limitWindow   = 4 * time.Second
--- a/internal/gateway/quota/updates.go
+++ b/internal/gateway/quota/updates.go
@@ -12,9 +12,9 @@
 // other gateways should receive. It must be set before the limiter is used.
 func (l *Limiter) OnUpdate(notify func()) { l.notify = notify }
 
-// Updates returns the exchange of target limits between gateways. With it a gateway knows a
-// limit before it first sends the target a request, and learns that a limit was lifted even if
-// it had no credit to find out itself.
+// Updates returns the kind of update by which gateways exchange limits of targets. Through the
+// exchange, a gateway knows a limit before it first sends the target a request, and learns that
+// a limit was lifted even if it had no credit to find out itself.
 func (l *Limiter) Updates() discovery.UpdateKind {
 	return discovery.ChangeLog[quota.Update]{
 		Name: "limits of targets", Position: l.position, Since: l.updatesSince, Merge: l.mergeUpdates, Log: l.options.Log,
--- a/internal/gateway/signals/signals.go
+++ b/internal/gateway/signals/signals.go
@@ -205,8 +205,9 @@
 }
 
 // Avoided returns the targets that asked several gateways for back-off, and which are used only
-// if there is no other. It returns none if they are most of the given targets, which are
-// interchangeable. The result must not be modified.
+// if there is no other. The given targets are interchangeable: if most of them asked for
+// back-off, Avoided returns none, since the remaining ones could not take over the load. The
+// result must not be modified.
 func (r *Registry) Avoided(targets []catalog.Target) map[catalog.Life]bool {
 	if r.entries.Load() == 0 {
 		return nil
--- a/internal/gateway/upstream/exchange.go
+++ b/internal/gateway/upstream/exchange.go
@@ -41,7 +41,7 @@
 }
 
 var (
-	errTooManySurplus = errors.New("the connection held too many answers to other requests")
+	errTooManySurplus = errors.New("the connection delivered answers to other requests")
 	errNoRequestID    = errors.New("the answer has no request id")
 	errTooLong        = errors.New("the answer is too long to be buffered")
 )
--- a/internal/gateway/upstream/signals_test.go
+++ b/internal/gateway/upstream/signals_test.go
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d .\r\n%s: %s\r\nContent-Length: 4\r\n%s\r\n", status, names.RequestID, id, lines)
 }
 
-func TestSignalsOfAnAnswerAreReported(t *testing.T) {
+func TestSignalsInAnswerAreReported(t *testing.T) {
 	leaving := names.Leaving + ": 1\r\n"
 	for name, c := range map[string]struct {
 		answer func(id string) string
@@ -74,7 +74,7 @@
 	return all
 }
 
-func TestLimitOfAnAnswerIsReported(t *testing.T) {
+func TestLimitInAnswerIsReported(t *testing.T) {
 	limit := names.Limit + ": 3\r\n"
 	for name, c := range map[string]struct {
 		answer func(id string) string
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestLimitOfAProbeAnswerIsReported(t *testing.T) {
+func TestLimitInProbeAnswerIsReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		lines  string
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestSignalsOfAProbeAnswerAreReported(t *testing.T) {
+func TestSignalsInProbeAnswerAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		instance string
 		want     []signal.Signals
--- a/internal/gateway/upstream/upstream_test.go
+++ b/internal/gateway/upstream/upstream_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestLateSurplusAnswerIsSkipped(t *testing.T) {
+func TestLateAnswerToEarlierRequestIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	s := serve(t, func(c net.Conn, r *http.Request, n int32) {
 		if n == 2 {
